--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 SRC := packages/core/src:packages/daemon/src:packages/ctl/src:packages/fakes/src:platform/src
 export PYTHONPATH := $(SRC)
 PACKAGES := packages/core packages/daemon packages/ctl packages/fakes platform
-TOOLS := pytest ruff hypothesis grpcio-tools openai cryptography
+TOOLS := pytest ruff hypothesis grpcio-tools openai cryptography rope mypy
 
 .PHONY: setup test lint format demo demo-up bench check-log scenarios scenarios-short \
   soak soak-short proto
