--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -10,17 +10,17 @@
 from benchmarks.batching import BatchingEngine, Generation, Work
 from benchmarks.deployment import LARGE, MIDDLE, MODELS, SMALL, Kind, Site
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.call import Call, CallTerms, PromptPart
+from bergamotwood_core.gateway.call import Call, PromptPart, RequestMetadata
 from bergamotwood_core.gateway.configuration import (
     Destination,
     RouteKind,
     ServiceRoute,
 )
-from bergamotwood_core.gateway.endpoints import EndpointBeat
+from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
 from bergamotwood_core.gateway.health import HealthTable
+from bergamotwood_core.gateway.latency import LatencyTable, Timing
 from bergamotwood_core.gateway.load import LoadSum, LoadTable
-from bergamotwood_core.gateway.models import choose_next_model, fits
-from bergamotwood_core.gateway.pace import PaceTable, Timing
+from bergamotwood_core.gateway.models import can_finish_in_time, choose_next_model
 from bergamotwood_core.gateway.placement import Candidate, Placement
 from bergamotwood_core.ids import (
     DataCentre,
@@ -57,7 +57,7 @@
     heads: list[float] = field(default_factory=list)
 
 
-Choose = Callable[["Entry", list[EndpointBeat], Call, Seconds], Candidate | None]
+Choose = Callable[["Entry", list[EndpointHeartbeat], Call, Seconds], Candidate | None]
 
 
 class Entry:
@@ -66,7 +66,7 @@
     def __init__(self, number: int, rng: Random) -> None:
         self.loads = LoadTable()
         self.health = HealthTable()
-        self.pace = PaceTable()
+        self.pace = LatencyTable()
         self.home = CENTRES[number % len(CENTRES)]
         self.placement = Placement(self.home, self.health, self.loads.find, rng)
         self.rng = rng
@@ -117,7 +117,7 @@
         self.open: set[Request] = set()
         self.entries = self._make_entries()
         self.engines: dict[EndpointId, BatchingEngine] = {}
-        self.beats: list[EndpointBeat] = []
+        self.beats: list[EndpointHeartbeat] = []
         self.replaced_part = replaced_part
         for _ in range(site.engines):
             self._add_engine()
@@ -145,7 +145,7 @@
         name = EndpointId(f"e{next(self.ids)}")
         self.engines[name] = BatchingEngine(self.agenda, self.site.engine, self.work)
         self.beats.append(
-            EndpointBeat(
+            EndpointHeartbeat(
                 endpoint=name,
                 incarnation=Incarnation(1),
                 sequence=Sequence(1),
@@ -177,12 +177,12 @@
 
     def _report(self) -> None:
         """Tell each entry what the others had a moment ago."""
-        reports = [entry.loads.describe() for entry in self.entries]
+        reports = [entry.loads.list_own() for entry in self.entries]
         total = LoadSum()
         for report in reports:
             total.add(report)
         for entry, report in zip(self.entries, reports, strict=True):
-            entry.loads.report(total.list_beside(report))
+            entry.loads.set_others(total.list_without(report))
 
 
 class Request:
@@ -207,7 +207,7 @@
         self.started_at = play.agenda.now
         expected = self.events * play.site.engine.event_tokens
         self.call = Call(
-            terms=CallTerms(
+            terms=RequestMetadata(
                 request=RequestId(f"q{number}"),
                 leaves_model_open=True,
                 prompt_tokens=tokens + own,
@@ -244,10 +244,10 @@
             return
         self.candidate = candidate
         self.sent_at = now
-        endpoint = candidate.beat.endpoint
-        reading = entry.placement.estimate_reading(candidate, call)
-        entry.loads.start(endpoint, call.terms.request, reading)
-        entry.placement.note_sent(candidate, call)
+        endpoint = candidate.heartbeat.endpoint
+        reading = entry.placement.estimate_prefill(candidate, call)
+        entry.loads.add_request(endpoint, call.terms.request, reading)
+        entry.placement.record_send(candidate, call)
         self.engine = play.engines[endpoint]
         self.generation = Generation(
             call.model, call.terms.prompt, self.events, self._take_event
@@ -273,9 +273,9 @@
 
     def _begin(self, now: Seconds) -> None:
         entry, call = self.entry, self.call
-        endpoint = self.candidate.beat.endpoint
-        entry.loads.begin(endpoint, call.terms.request)
-        entry.placement.note_begun(self.candidate, call, now - self.sent_at)
+        endpoint = self.candidate.heartbeat.endpoint
+        entry.loads.mark_prefilled(endpoint, call.terms.request)
+        entry.placement.record_answer_start(self.candidate, call, now - self.sent_at)
         self.head_seconds = now - self.sent_at
         larger = choose_next_model(
             self.play.models,
@@ -286,7 +286,7 @@
         )
         if larger is not None:
             self.engine.cancel(self.generation)
-            entry.loads.end(endpoint, call.terms.request)
+            entry.loads.remove_request(endpoint, call.terms.request)
             call.model = larger
             call.tried.append(endpoint)
             self.send()
@@ -304,13 +304,17 @@
         seconds = self.entry.pace.estimate(
             call.route.name, model, call.terms.expected_tokens
         )
-        return fits(seconds, call.deadline - now)
+        return can_finish_in_time(seconds, call.deadline - now)
 
     def _end(self, now: Seconds) -> None:
         entry, call = self.entry, self.call
-        entry.loads.end(self.candidate.beat.endpoint, call.terms.request)
+        entry.loads.remove_request(
+            self.candidate.heartbeat.endpoint, call.terms.request
+        )
         timing = Timing(self.head_seconds, now - self.sent_at, self.events)
-        entry.pace.note(call.route.name, call.model, timing, call.terms.expected_tokens)
+        entry.pace.record(
+            call.route.name, call.model, timing, call.terms.expected_tokens
+        )
         is_good = self.hardness < QUALITY[call.model]
         self._count("late" if self.is_late else "in time", is_good)
 
@@ -318,7 +322,9 @@
         if generation.is_over or generation is not self.generation:
             return
         self.engine.cancel(generation)
-        self.entry.loads.end(self.candidate.beat.endpoint, self.call.terms.request)
+        self.entry.loads.remove_request(
+            self.candidate.heartbeat.endpoint, self.call.terms.request
+        )
         self._count("failed", is_good=False)
 
     def lose(self) -> None:
--- a/benchmarks/generation.py
+++ b/benchmarks/generation.py
@@ -12,19 +12,19 @@
 from benchmarks.figures import Row, write_figures
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.call import Call
-from bergamotwood_core.gateway.endpoints import EndpointBeat
+from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
 from bergamotwood_core.gateway.placement import Candidate
 from bergamotwood_core.ids import ModelName
 
 
 def choose_gateway(
-    entry: Entry, beats: list[EndpointBeat], call: Call, now: Seconds
+    entry: Entry, beats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
     """Choose as the gateway does."""
     return entry.placement.choose(beats, call, now)
 
 
-def make_plain(entry: Entry, beat: EndpointBeat, call: Call) -> Candidate:
+def make_plain(entry: Entry, beat: EndpointHeartbeat, call: Call) -> Candidate:
     """Describe an endpoint for a choice that knows nothing of cached prompts."""
     health = entry.health.find(beat.endpoint, beat.incarnation)
     load = entry.loads.find(beat.endpoint)
@@ -32,7 +32,7 @@
 
 
 def choose_least(
-    entry: Entry, beats: list[EndpointBeat], call: Call, now: Seconds
+    entry: Entry, beats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
     """Choose the least reported load, any of those that are alike."""
     key = min(
@@ -46,7 +46,7 @@
 
 
 def choose_two(
-    entry: Entry, beats: list[EndpointBeat], call: Call, now: Seconds
+    entry: Entry, beats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
     """Choose the less loaded of two at random."""
     two = entry.rng.sample(beats, 2)
--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -3,8 +3,8 @@
 from msgspec import Struct
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.configuration import KeyHolder, ServiceRoute
-from bergamotwood_core.gateway.pace import Timing
+from bergamotwood_core.gateway.configuration import GatewayWorkspace, ServiceRoute
+from bergamotwood_core.gateway.latency import Timing
 from bergamotwood_core.ids import (
     EndpointId,
     Fingerprint,
@@ -31,7 +31,7 @@
     tokens: int
 
 
-class CallTerms(Struct, frozen=True):
+class RequestMetadata(Struct, frozen=True):
     """What a caller says of its request.
 
     Parameters
@@ -71,7 +71,7 @@
     last_event: str = ""
 
 
-class ForwardTerms(Struct, frozen=True):
+class ForwardMetadata(Struct, frozen=True):
     """What the router says to an endpoint of a request.
 
     Parameters
@@ -98,7 +98,7 @@
     last_event: str = ""
 
 
-class AnswerTerms(Struct, frozen=True):
+class ResponseMetadata(Struct, frozen=True):
     """What an endpoint says of its response.
 
     Parameters
@@ -124,11 +124,11 @@
 
     Parameters
     ----------
-    terms : CallTerms
+    terms : RequestMetadata
         What the caller said.
     route : ServiceRoute
         Its route.
-    holder : KeyHolder or None
+    holder : GatewayWorkspace or None
         Workspace of its key.
     service : ServiceName
         Service chosen for it.
@@ -150,9 +150,9 @@
         Times of the answer that the caller has.
     """
 
-    terms: CallTerms
+    terms: RequestMetadata
     route: ServiceRoute
-    holder: KeyHolder | None
+    holder: GatewayWorkspace | None
     service: ServiceName
     received_at: Seconds
     deadline: Seconds
--- a/packages/core/src/bergamotwood_core/gateway/configuration.py
+++ b/packages/core/src/bergamotwood_core/gateway/configuration.py
@@ -84,7 +84,7 @@
     resumable: bool = False
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may run more than once."""
         match self.kind:
             case RouteKind.IDEMPOTENT:
@@ -142,7 +142,7 @@
     idle_seconds: float = 15.0
 
 
-class KeyHolder(Struct, frozen=True):
+class GatewayWorkspace(Struct, frozen=True):
     """A workspace with its keys.
 
     Parameters
@@ -173,19 +173,19 @@
     routes: tuple[ServiceRoute, ...] = ()
     services: tuple[GatewayService, ...] = ()
     limits: CallerLimits = CallerLimits()
-    holders: tuple[KeyHolder, ...] = ()
+    holders: tuple[GatewayWorkspace, ...] = ()
 
 
-def find_faults(configuration: GatewayConfiguration) -> tuple[str, ...]:
+def find_configuration_errors(configuration: GatewayConfiguration) -> tuple[str, ...]:
     """Return every reason why a configuration cannot be used."""
     return (
-        *_find_route_faults(configuration),
-        *_find_doubled_places(configuration),
+        *_find_route_errors(configuration),
+        *_find_duplicate_routes(configuration),
         *_find_shared_keys(configuration),
     )
 
 
-def _find_route_faults(configuration: GatewayConfiguration) -> Iterator[str]:
+def _find_route_errors(configuration: GatewayConfiguration) -> Iterator[str]:
     services = {service.name for service in configuration.services}
     for route in configuration.routes:
         for destination in route.destinations:
@@ -202,9 +202,11 @@
             yield f"route {route.name}: its prefix does not begin with a slash"
 
 
-def _find_doubled_places(configuration: GatewayConfiguration) -> Iterator[str]:
-    places = Counter((route.host, route.path_prefix) for route in configuration.routes)
-    for (host, prefix), count in places.items():
+def _find_duplicate_routes(configuration: GatewayConfiguration) -> Iterator[str]:
+    locations = Counter(
+        (route.host, route.path_prefix) for route in configuration.routes
+    )
+    for (host, prefix), count in locations.items():
         if count > 1:
             yield f"{count} routes at {host}{prefix}"
 
--- a/packages/core/src/bergamotwood_core/gateway/endpoints.py
+++ b/packages/core/src/bergamotwood_core/gateway/endpoints.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.machine import Departure
+from bergamotwood_core.gateway.state_machine import Departure
 from bergamotwood_core.ids import (
     DataCentre,
     EndpointId,
@@ -17,7 +17,7 @@
 from bergamotwood_core.states import EndpointState
 
 
-class EndpointBeat(Struct, frozen=True, array_like=True):
+class EndpointHeartbeat(Struct, frozen=True, array_like=True):
     """What an endpoint says of itself.
 
     Parameters
@@ -27,7 +27,7 @@
     incarnation : Incarnation
         Time of its start; a later one makes earlier ones void.
     sequence : Sequence
-        Rises with each beat of an incarnation.
+        Rises with each heartbeat of an incarnation.
     service : ServiceName
         Service that it belongs to.
     address : str
@@ -60,12 +60,12 @@
 
 
 class EndpointDirectory:
-    """Newest beat of each endpoint.
+    """Newest heartbeat of each endpoint.
 
     Parameters
     ----------
-    silence_seconds : float
-        Time without a beat after which an endpoint is forgotten. Requests find
+    expiry_seconds : float
+        Time without a heartbeat after which an endpoint is forgotten. Requests find
         out sooner that it is gone; this bounds the table.
 
     Attributes
@@ -74,88 +74,94 @@
         Rises with each change that matters to entries.
     """
 
-    def __init__(self, silence_seconds: float) -> None:
+    def __init__(self, expiry_seconds: float) -> None:
         self.version = 0
-        self._silence = silence_seconds
-        self._beats: dict[EndpointId, EndpointBeat] = {}
-        self._heard: dict[EndpointId, Seconds] = {}
+        self._expiry = expiry_seconds
+        self._heartbeats: dict[EndpointId, EndpointHeartbeat] = {}
+        self._last_heard: dict[EndpointId, Seconds] = {}
         self._departed: dict[tuple[EndpointId, Incarnation], EndpointState] = {}
 
     def __len__(self) -> int:
-        return len(self._beats)
+        return len(self._heartbeats)
 
-    def take_beat(self, beat: EndpointBeat, now: Seconds) -> bool:
-        """Take in a beat; return whether it is news for other daemons."""
-        held = self._beats.get(beat.endpoint)
-        if held is not None and not _is_later(beat, held):
+    def apply_heartbeat(self, heartbeat: EndpointHeartbeat, now: Seconds) -> bool:
+        """Take in a heartbeat; return whether it is news for other daemons."""
+        known = self._heartbeats.get(heartbeat.endpoint)
+        if known is not None and not _is_newer(heartbeat, known):
             return False
-        if (beat.endpoint, beat.incarnation) in self._departed:
+        if (heartbeat.endpoint, heartbeat.incarnation) in self._departed:
             return False
-        if not self._claim_address(beat):
+        if not self._claim_address(heartbeat):
             return False
-        self._beats[beat.endpoint] = beat
-        self._heard[beat.endpoint] = now
-        if held is None or _differs(beat, held):
+        self._heartbeats[heartbeat.endpoint] = heartbeat
+        self._last_heard[heartbeat.endpoint] = now
+        if known is None or _has_changed(heartbeat, known):
             self.version += 1
         return True
 
-    def take_departures(self, departures: Iterable[Departure]) -> None:
+    def apply_departures(self, departures: Iterable[Departure]) -> None:
         """Drop incarnations that leave or have left."""
         for departure in departures:
             key = (departure.endpoint, departure.incarnation)
             if key in self._departed:
                 continue
             self._departed[key] = departure.state
-            held = self._beats.get(departure.endpoint)
-            if held is not None and held.incarnation <= departure.incarnation:
+            known = self._heartbeats.get(departure.endpoint)
+            if known is not None and known.incarnation <= departure.incarnation:
                 self._drop(departure.endpoint)
 
     def expire(self, now: Seconds) -> None:
         """Forget endpoints that have been silent for long."""
-        limit = now - self._silence
-        for endpoint in [key for key, at in self._heard.items() if at < limit]:
+        limit = now - self._expiry
+        for endpoint in [key for key, at in self._last_heard.items() if at < limit]:
             self._drop(endpoint)
 
-    def list_beats(self) -> tuple[EndpointBeat, ...]:
-        """Return the newest beat of each endpoint."""
-        return tuple(self._beats.values())
+    def list_heartbeats(self) -> tuple[EndpointHeartbeat, ...]:
+        """Return the newest heartbeat of each endpoint."""
+        return tuple(self._heartbeats.values())
 
     def list_silent(self, now: Seconds, seconds: float) -> tuple[EndpointId, ...]:
-        """Return the endpoints whose newest beat is older than some seconds."""
-        return tuple(key for key, at in self._heard.items() if at < now - seconds)
+        """Return the endpoints whose newest heartbeat is older than some seconds."""
+        return tuple(key for key, at in self._last_heard.items() if at < now - seconds)
 
-    def find(self, endpoint: EndpointId) -> EndpointBeat | None:
-        """Return the newest beat of an endpoint."""
-        return self._beats.get(endpoint)
+    def find(self, endpoint: EndpointId) -> EndpointHeartbeat | None:
+        """Return the newest heartbeat of an endpoint."""
+        return self._heartbeats.get(endpoint)
 
-    def _claim_address(self, beat: EndpointBeat) -> bool:
+    def _claim_address(self, heartbeat: EndpointHeartbeat) -> bool:
         """Let the endpoint that started last have its address."""
-        for other in list(self._beats.values()):
-            if other.address != beat.address or other.endpoint == beat.endpoint:
+        for other in list(self._heartbeats.values()):
+            if (
+                other.address != heartbeat.address
+                or other.endpoint == heartbeat.endpoint
+            ):
                 continue
-            if other.incarnation > beat.incarnation:
+            if other.incarnation > heartbeat.incarnation:
                 return False
             self._drop(other.endpoint)
         return True
 
     def _drop(self, endpoint: EndpointId) -> None:
-        del self._beats[endpoint]
-        del self._heard[endpoint]
+        del self._heartbeats[endpoint]
+        del self._last_heard[endpoint]
         self.version += 1
 
 
-def _is_later(beat: EndpointBeat, held: EndpointBeat) -> bool:
-    return (beat.incarnation, beat.sequence) > (held.incarnation, held.sequence)
+def _is_newer(heartbeat: EndpointHeartbeat, known: EndpointHeartbeat) -> bool:
+    return (heartbeat.incarnation, heartbeat.sequence) > (
+        known.incarnation,
+        known.sequence,
+    )
 
 
-def _differs(beat: EndpointBeat, held: EndpointBeat) -> bool:
-    """Whether a beat changes more than the time it came."""
+def _has_changed(heartbeat: EndpointHeartbeat, known: EndpointHeartbeat) -> bool:
+    """Whether a heartbeat changes more than the time it came."""
     return (
-        beat.incarnation != held.incarnation
-        or beat.service != held.service
-        or beat.address != held.address
-        or beat.version != held.version
-        or beat.state != held.state
-        or beat.models != held.models
-        or (beat.warmup_seconds > 0.0) != (held.warmup_seconds > 0.0)
+        heartbeat.incarnation != known.incarnation
+        or heartbeat.service != known.service
+        or heartbeat.address != known.address
+        or heartbeat.version != known.version
+        or heartbeat.state != known.state
+        or heartbeat.models != known.models
+        or (heartbeat.warmup_seconds > 0.0) != (known.warmup_seconds > 0.0)
     )
--- a/packages/core/src/bergamotwood_core/gateway/events.py
+++ b/packages/core/src/bergamotwood_core/gateway/events.py
@@ -22,22 +22,22 @@
     """Collects bytes and gives out whole events (HTML Living Standard, 9.2)."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun that is not whole."""
-        return bool(self._held)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add bytes and return the events that they complete."""
-        self._held += data
+        self._buffer += data
         events = []
         while True:
-            end = _find_end(self._held)
+            end = _find_end(self._buffer)
             if end < 0:
                 return events
-            block, self._held = self._held[:end], self._held[end:]
+            block, self._buffer = self._buffer[:end], self._buffer[end:]
             events.append(StreamEvent(block, _find_id(block)))
 
 
--- a/packages/core/src/bergamotwood_core/gateway/health.py
+++ b/packages/core/src/bergamotwood_core/gateway/health.py
@@ -14,16 +14,16 @@
 # Pause after a refusal: a full queue moves on within about one short request.
 FULL_PAUSE_SECONDS = 0.1
 # Weight of the newest result in the moving averages: about the last ten count.
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 # Time without a byte from an endpoint after which the absence of its beats
 # counts: it may only be cut off from the control group.
-UNHEARD_SECONDS = 1.5
+MAX_TRAFFIC_GAP_SECONDS = 1.5
 # Failure rate from which an endpoint counts as failing. Sound services fail up
 # to one request in seven by themselves.
 FAILING_RATE = 0.3
 
 
-class Result(StrEnum):
+class AttemptResult(StrEnum):
     """How an attempt at an endpoint ended."""
 
     OK = "ok"
@@ -69,38 +69,38 @@
     """Health of all endpoints that an entry has used."""
 
     def __init__(self) -> None:
-        self._entries: dict[EndpointId, EndpointHealth] = {}
+        self._health: dict[EndpointId, EndpointHealth] = {}
 
     def find(self, endpoint: EndpointId, incarnation: Incarnation) -> EndpointHealth:
         """Return what is known of an incarnation."""
-        held = self._entries.get(endpoint)
-        if held is None or held.incarnation < incarnation:
-            held = self._entries[endpoint] = EndpointHealth(incarnation)
-        return held
+        known = self._health.get(endpoint)
+        if known is None or known.incarnation < incarnation:
+            known = self._health[endpoint] = EndpointHealth(incarnation)
+        return known
 
-    def note_heard(
+    def record_traffic(
         self, endpoint: EndpointId, incarnation: Incarnation, now: Seconds
     ) -> None:
         """Note that an endpoint has sent something."""
         self.find(endpoint, incarnation).heard_at = now
 
-    def is_dark(
+    def is_unresponsive(
         self, endpoint: EndpointId, incarnation: Incarnation, now: Seconds
     ) -> bool:
         """Whether an endpoint whose beats are missing is silent here too."""
         heard_at = self.find(endpoint, incarnation).heard_at
-        return now - heard_at > UNHEARD_SECONDS
+        return now - heard_at > MAX_TRAFFIC_GAP_SECONDS
 
-    def keep(self, endpoints: set[EndpointId]) -> None:
+    def retain(self, endpoints: set[EndpointId]) -> None:
         """Forget all other endpoints."""
-        for endpoint in set(self._entries) - endpoints:
-            del self._entries[endpoint]
+        for endpoint in set(self._health) - endpoints:
+            del self._health[endpoint]
 
-    def note(
+    def record_result(
         self,
         endpoint: EndpointId,
         incarnation: Incarnation,
-        result: Result,
+        result: AttemptResult,
         seconds: float,
         now: Seconds,
     ) -> None:
@@ -119,31 +119,31 @@
         """
         health = self.find(endpoint, incarnation)
         match result:
-            case Result.OK:
+            case AttemptResult.OK:
                 health.failures = 0
-                _smooth_rate(health, 0.0)
-                _smooth_seconds(health, seconds)
-            case Result.ERROR:
+                _update_failure_rate(health, 0.0)
+                _update_response_time(health, seconds)
+            case AttemptResult.ERROR:
                 health.failures = 0
-                _smooth_rate(health, 1.0)
-            case Result.BROKEN | Result.SILENT:
-                _smooth_rate(health, 1.0)
-            case Result.FULL:
+                _update_failure_rate(health, 1.0)
+            case AttemptResult.BROKEN | AttemptResult.SILENT:
+                _update_failure_rate(health, 1.0)
+            case AttemptResult.FULL:
                 health.paused_until = Seconds(now + FULL_PAUSE_SECONDS)
-            case Result.REPLACED:
+            case AttemptResult.REPLACED:
                 health.is_replaced = True
-            case Result.UNREACHABLE:
+            case AttemptResult.UNREACHABLE:
                 pause = FIRST_PAUSE_SECONDS * 2**health.failures
                 health.failures += 1
                 pause = min(pause, MAX_PAUSE_SECONDS)
                 health.paused_until = Seconds(now + pause)
 
 
-def _smooth_rate(health: EndpointHealth, value: float) -> None:
-    health.failure_rate += SMOOTHING * (value - health.failure_rate)
+def _update_failure_rate(health: EndpointHealth, value: float) -> None:
+    health.failure_rate += SMOOTHING_FACTOR * (value - health.failure_rate)
 
 
-def _smooth_seconds(health: EndpointHealth, value: float) -> None:
+def _update_response_time(health: EndpointHealth, value: float) -> None:
     if health.seconds == 0.0:
         health.seconds = value
-    health.seconds += SMOOTHING * (value - health.seconds)
+    health.seconds += SMOOTHING_FACTOR * (value - health.seconds)
--- a/packages/core/src/bergamotwood_core/gateway/load.py
+++ b/packages/core/src/bergamotwood_core/gateway/load.py
@@ -12,17 +12,17 @@
     ----------
     requests : int
         Requests that it has.
-    reading_seconds : float
+    prefill_seconds : float
         Time that it needs to read the prompts of those not begun.
     """
 
     requests: int = 0
-    reading_seconds: float = 0.0
+    prefill_seconds: float = 0.0
 
 
 NO_LOAD = EndpointLoad()
 # Decimals of a second in reports: a prompt takes some milliseconds at least.
-DECIMALS = 3
+REPORT_DECIMALS = 3
 
 
 class LoadSum:
@@ -44,18 +44,18 @@
         """Take away a report that was added."""
         self._change(loads, -1)
 
-    def list_beside(
+    def list_without(
         self, loads: dict[EndpointId, EndpointLoad]
     ) -> dict[EndpointId, EndpointLoad]:
         """Return the sum without one report that is part of it."""
-        beside = {}
+        remaining = {}
         for endpoint, (requests, units) in self._sums.items():
             own = loads.get(endpoint, NO_LOAD)
             others = requests - own.requests
             if others > 0:
-                seconds = (units - _count_units(own)) / 10**DECIMALS
-                beside[endpoint] = EndpointLoad(others, seconds)
-        return beside
+                seconds = (units - _count_units(own)) / 10**REPORT_DECIMALS
+                remaining[endpoint] = EndpointLoad(others, seconds)
+        return remaining
 
     def _change(self, loads: dict[EndpointId, EndpointLoad], sign: int) -> None:
         for endpoint, load in loads.items():
@@ -69,60 +69,60 @@
 
 
 def _count_units(load: EndpointLoad) -> int:
-    return round(load.reading_seconds * 10**DECIMALS)
+    return round(load.prefill_seconds * 10**REPORT_DECIMALS)
 
 
 class LoadTable:
     """Requests of one entry at each endpoint."""
 
     def __init__(self) -> None:
-        self._open: dict[EndpointId, dict[RequestId, float]] = {}
-        self._reported: dict[EndpointId, EndpointLoad] = {}
+        self._own: dict[EndpointId, dict[RequestId, float]] = {}
+        self._others: dict[EndpointId, EndpointLoad] = {}
 
-    def start(
-        self, endpoint: EndpointId, request: RequestId, reading_seconds: float
+    def add_request(
+        self, endpoint: EndpointId, request: RequestId, prefill_seconds: float
     ) -> None:
         """Count a request that is sent to an endpoint."""
-        self._open.setdefault(endpoint, {})[request] = reading_seconds
+        self._own.setdefault(endpoint, {})[request] = prefill_seconds
 
-    def begin(self, endpoint: EndpointId, request: RequestId) -> None:
+    def mark_prefilled(self, endpoint: EndpointId, request: RequestId) -> None:
         """Note that a request's answer begins: its prompt is read."""
-        if request in self._open.get(endpoint, {}):
-            self._open[endpoint][request] = 0.0
+        if request in self._own.get(endpoint, {}):
+            self._own[endpoint][request] = 0.0
 
-    def end(self, endpoint: EndpointId, request: RequestId) -> None:
+    def remove_request(self, endpoint: EndpointId, request: RequestId) -> None:
         """Count a request that is over at an endpoint."""
-        requests = self._open.get(endpoint, {})
+        requests = self._own.get(endpoint, {})
         requests.pop(request, None)
         if not requests:
-            self._open.pop(endpoint, None)
+            self._own.pop(endpoint, None)
 
-    def report(self, loads: dict[EndpointId, EndpointLoad]) -> None:
+    def set_others(self, loads: dict[EndpointId, EndpointLoad]) -> None:
         """Take in the sum of what all other entries report."""
-        self._reported = loads
+        self._others = loads
 
-    def describe(self) -> dict[EndpointId, EndpointLoad]:
+    def list_own(self) -> dict[EndpointId, EndpointLoad]:
         """Return the entry's own load on each endpoint."""
         return {
             endpoint: EndpointLoad(
-                len(requests), round(sum(requests.values()), DECIMALS)
+                len(requests), round(sum(requests.values()), REPORT_DECIMALS)
             )
-            for endpoint, requests in self._open.items()
+            for endpoint, requests in self._own.items()
         }
 
     def find(self, endpoint: EndpointId) -> EndpointLoad:
         """Return the load on an endpoint, of this entry and all others."""
-        requests = self._open.get(endpoint, {})
+        requests = self._own.get(endpoint, {})
         own = EndpointLoad(len(requests), sum(requests.values()))
-        return add_loads(own, self._reported.get(endpoint, NO_LOAD))
+        return add_loads(own, self._others.get(endpoint, NO_LOAD))
 
-    def count(self) -> int:
+    def count_requests(self) -> int:
         """Return all requests of this entry at endpoints."""
-        return sum(len(requests) for requests in self._open.values())
+        return sum(len(requests) for requests in self._own.values())
 
 
 def add_loads(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
     """Return two loads together."""
     return EndpointLoad(
-        one.requests + other.requests, one.reading_seconds + other.reading_seconds
+        one.requests + other.requests, one.prefill_seconds + other.prefill_seconds
     )
--- a/packages/core/src/bergamotwood_core/gateway/models.py
+++ b/packages/core/src/bergamotwood_core/gateway/models.py
@@ -13,18 +13,18 @@
 
 
 def choose_first_model(
-    models: Sequence[ModelName], held: set[ModelName]
+    models: Sequence[ModelName], available: set[ModelName]
 ) -> ModelName | None:
     """Return the smallest model that endpoints hold, None without one."""
     for model in models:
-        if model in held:
+        if model in available:
             return model
     return None
 
 
 def choose_next_model(
     models: Sequence[ModelName],
-    held: set[ModelName],
+    available: set[ModelName],
     current: ModelName,
     confidence: float | None,
     has_time: Callable[[ModelName], bool],
@@ -35,7 +35,7 @@
     ----------
     models : sequence of ModelName
         Models of the route, smallest first.
-    held : set of ModelName
+    available : set of ModelName
         Models that endpoints hold.
     current : ModelName
         Model that has answered.
@@ -47,12 +47,12 @@
     if confidence is None or confidence >= LOW_CONFIDENCE or current not in models:
         return None
     for model in reversed(models[models.index(current) + 1 :]):
-        if model in held and has_time(model):
+        if model in available and has_time(model):
             return model
     return None
 
 
-def fits(seconds: float | None, time_left: float) -> bool:
+def can_finish_in_time(seconds: float | None, time_left: float) -> bool:
     """Whether an answer is as likely as not to end in time.
 
     Estimates are right at the median, so the chances are even where one just fits.
--- a/packages/core/src/bergamotwood_core/gateway/work.py
+++ b/packages/core/src/bergamotwood_core/gateway/prefill.py
@@ -8,38 +8,38 @@
 
 # Times of one model that are kept. The lower quartile is the time without
 # waiting: a quarter of the prompts meet an idle engine even under load.
-SAMPLES = 32
+MAX_SAMPLES = 32
 QUARTILE = 0.25
 # Time for a token before any was measured, in seconds: 25 tokens a millisecond.
 # It only has to be of the right order: the first few prompts correct it.
-FIRST_SECONDS = 4e-5
+INITIAL_SECONDS_PER_TOKEN = 4e-5
 # Least tokens of a prompt that say something about the time for a token.
-LEAST_TOKENS = 200
+MIN_SAMPLE_TOKENS = 200
 # Parts remembered for each endpoint; engines hold some hundred prompts.
 MAX_PARTS = 512
 
 
-class ReadingPace:
+class PrefillRate:
     """Seconds for each token of a prompt, by model."""
 
     def __init__(self) -> None:
         self._times: dict[ModelName, deque[float]] = {}
 
-    def note(self, model: ModelName, tokens: int, seconds: float) -> None:
+    def record(self, model: ModelName, tokens: int, seconds: float) -> None:
         """Take in the time from sending a prompt to the answer's beginning."""
-        if tokens >= LEAST_TOKENS:
-            times = self._times.setdefault(model, deque(maxlen=SAMPLES))
+        if tokens >= MIN_SAMPLE_TOKENS:
+            times = self._times.setdefault(model, deque(maxlen=MAX_SAMPLES))
             times.append(seconds / tokens)
 
     def estimate(self, model: ModelName, tokens: int) -> float:
         """Return seconds to read tokens that are not cached."""
         times = self._times.get(model)
         if not times:
-            return FIRST_SECONDS * tokens
+            return INITIAL_SECONDS_PER_TOKEN * tokens
         return sorted(times)[int(QUARTILE * len(times))] * tokens
 
 
-class PromptMemory:
+class PrefixCacheIndex:
     """Parts of prompts that an entry has sent to each endpoint, by model.
 
     Least recently used parts are forgotten, as in the engines.
@@ -49,7 +49,7 @@
         self._parts: dict[EndpointId, OrderedDict[tuple[ModelName, str], None]] = {}
         self._incarnations: dict[EndpointId, Incarnation] = {}
 
-    def note(
+    def record(
         self,
         endpoint: EndpointId,
         incarnation: Incarnation,
@@ -57,12 +57,12 @@
         parts: Iterable[PromptPart],
     ) -> None:
         """Note that an endpoint reads a prompt."""
-        held = self._find(endpoint, incarnation)
+        cached = self._find(endpoint, incarnation)
         for part in parts:
-            held[model, part.id] = None
-            held.move_to_end((model, part.id))
-        while len(held) > MAX_PARTS:
-            held.popitem(last=False)
+            cached[model, part.id] = None
+            cached.move_to_end((model, part.id))
+        while len(cached) > MAX_PARTS:
+            cached.popitem(last=False)
 
     def count_cached(
         self,
@@ -75,15 +75,15 @@
 
         A part counts only if all parts before it do.
         """
-        held = self._find(endpoint, incarnation)
+        cached = self._find(endpoint, incarnation)
         tokens = 0
         for part in parts:
-            if (model, part.id) not in held:
+            if (model, part.id) not in cached:
                 break
             tokens += part.tokens
         return tokens
 
-    def keep(self, endpoints: set[EndpointId]) -> None:
+    def retain(self, endpoints: set[EndpointId]) -> None:
         """Forget all other endpoints."""
         for endpoint in set(self._parts) - endpoints:
             del self._parts[endpoint]
--- a/packages/core/src/bergamotwood_core/gateway/retries.py
+++ b/packages/core/src/bergamotwood_core/gateway/retries.py
@@ -7,9 +7,9 @@
 from bergamotwood_core.ids import ServiceName
 
 # Sends of one request beyond its attempts that endpoints may refuse unrun.
-MAX_UNRUN_SENDS = 2
+MAX_REFUSED_SENDS = 2
 # Least time in which a repeat can still be answered.
-LEAST_SECONDS = 0.05
+MIN_RETRY_SECONDS = 0.05
 
 
 class RetryBudget:
@@ -31,26 +31,26 @@
     """
 
     def __init__(self, ratio: float, extra: float, window_seconds: float) -> None:
-        self.entries = 1
+        self.instance_count = 1
         self._ratio = ratio
         self._extra = extra
         self._window = window_seconds
         self._requests: dict[ServiceName, deque[Seconds]] = {}
-        self._repeats: dict[ServiceName, deque[Seconds]] = {}
+        self._retries: dict[ServiceName, deque[Seconds]] = {}
 
-    def note_request(self, service: ServiceName, now: Seconds) -> None:
+    def record_request(self, service: ServiceName, now: Seconds) -> None:
         """Count a request of a caller."""
         self._count(self._requests, service, now)
 
     def allows(self, service: ServiceName, now: Seconds) -> bool:
         """Whether one more repeat is within the budget."""
         requests = self._count_recent(self._requests, service, now)
-        repeats = self._count_recent(self._repeats, service, now)
-        return repeats + 1 <= self._ratio * requests + self._extra / self.entries
+        retries = self._count_recent(self._retries, service, now)
+        return retries + 1 <= self._ratio * requests + self._extra / self.instance_count
 
-    def note_repeat(self, service: ServiceName, now: Seconds) -> None:
+    def record_retry(self, service: ServiceName, now: Seconds) -> None:
         """Count a repeat that is being sent."""
-        self._count(self._repeats, service, now)
+        self._count(self._retries, service, now)
 
     def _count(
         self,
@@ -75,7 +75,7 @@
         return len(times)
 
 
-def may_send_again(call: Call, has_run: bool, now: Seconds) -> bool:
+def may_retry(call: Call, has_run: bool, now: Seconds) -> bool:
     """Whether the terms of a request allow another send.
 
     Parameters
@@ -87,10 +87,10 @@
     now : Seconds
         The time.
     """
-    if call.deadline - now < LEAST_SECONDS:
+    if call.deadline - now < MIN_RETRY_SECONDS:
         return False
-    if has_run and not call.route.is_repeatable:
+    if has_run and not call.route.is_retryable:
         return False
     if call.runs >= call.route.max_attempts:
         return False
-    return len(call.tried) < call.route.max_attempts + MAX_UNRUN_SENDS
+    return len(call.tried) < call.route.max_attempts + MAX_REFUSED_SENDS
--- a/packages/core/src/bergamotwood_core/gateway/rollout.py
+++ b/packages/core/src/bergamotwood_core/gateway/rollout.py
@@ -10,8 +10,8 @@
 from msgspec import Struct
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.machine import RolloutOutcome, ServiceRollout
-from bergamotwood_core.gateway.routing import hash_to_unit
+from bergamotwood_core.gateway.routing import hash_to_unit_interval
+from bergamotwood_core.gateway.state_machine import RolloutOutcome, ServiceRollout
 from bergamotwood_core.ids import ServiceName, SessionId
 from bergamotwood_core.sequential import Loss, bet_above
 
@@ -21,12 +21,12 @@
 STAGES = ((0.1, 0.08), (0.52, 0.2), (0.7, 0.5), (0.76, 1.0))
 FIRST_SHARE = STAGES[0][1]
 # Part of the time after which sessions may change to the new version.
-MOVE_PART = 0.5
+SESSION_MOVE_FRACTION = 0.5
 # Part of the time at which the roll-out ends: the rest is for the order to be
 # committed and read before its deadline.
-END_PART = 0.93
+END_FRACTION = 0.93
 # Finished requests on the new version that the last two stages wait for.
-EVIDENCE_TRIALS = 12
+MIN_EVIDENCE_TRIALS = 12
 # Chance, at any time, of taking a sound version for a bad one.
 FALSE_STOP_RATE = 0.005
 # Bad answers above the rate of the version before that are never held against
@@ -40,9 +40,9 @@
 TEST_PERIOD_SECONDS = 3.0
 # Endpoints of the new version, as a part of those of the other ones, without
 # which traffic is not moved.
-CAPACITY_PART = 0.5
+MIN_CAPACITY_FRACTION = 0.5
 # An order of no time at all counts as one of a thousandth of a second.
-LEAST_DURATION_SECONDS = 1e-3
+MIN_DURATION_SECONDS = 1e-3
 
 
 class VersionEvidence(Struct, frozen=True, array_like=True):
@@ -85,7 +85,10 @@
     @property
     def may_move_sessions(self) -> bool:
         """Whether open sessions may change to the new version."""
-        return self.elapsed_seconds >= MOVE_PART * self.rollout.duration_seconds
+        return (
+            self.elapsed_seconds
+            >= SESSION_MOVE_FRACTION * self.rollout.duration_seconds
+        )
 
 
 def choose_share(
@@ -107,66 +110,71 @@
     has_capacity : bool
         Whether enough endpoints of the new version have announced themselves.
     """
-    part = _measure_part(rollout, elapsed_seconds)
-    reached = [share for start, share in STAGES if part >= start]
+    fraction = _compute_elapsed_fraction(rollout, elapsed_seconds)
+    reached = [share for start, share in STAGES if fraction >= start]
     if not reached or not has_capacity:
         return 0.0
     sums = _sum_by_route(evidence, rollout, of_target=True)
     trials = sum(finished for finished, _ in sums.values())
-    if trials < EVIDENCE_TRIALS and part < END_PART - 0.1:
+    if trials < MIN_EVIDENCE_TRIALS and fraction < END_FRACTION - 0.1:
         reached = reached[:2]
     return reached[-1]
 
 
-def is_on_target(view: RolloutView, subject: str, is_open_elsewhere: bool) -> bool:
+def is_on_target(
+    view: RolloutView, affinity_key: str, is_on_other_version: bool
+) -> bool:
     """Whether a subject's requests belong on the new version.
 
     Parameters
     ----------
     view : RolloutView
         A roll-out in progress.
-    subject : str
+    affinity_key : str
         A session, or a request without one.
-    is_open_elsewhere : bool
+    is_on_other_version : bool
         Whether the session was on another version just now.
     """
-    point = hash_subject(view.rollout, subject)
+    point = hash_affinity_key(view.rollout, affinity_key)
     if point >= view.share:
         return False
-    return view.may_move_sessions or not is_open_elsewhere
+    return view.may_move_sessions or not is_on_other_version
 
 
-def hash_subject(rollout: ServiceRollout, subject: str) -> float:
+def hash_affinity_key(rollout: ServiceRollout, affinity_key: str) -> float:
     """Return a subject's place in [0, 1) for a roll-out."""
-    return hash_to_unit(f"{rollout.service}/{rollout.target}/{subject}")
+    return hash_to_unit_interval(f"{rollout.service}/{rollout.target}/{affinity_key}")
 
 
-class RolloutWatch:
+class RegressionDetector:
     """Evidence of one roll-out over time, for its verdict."""
 
     def __init__(self) -> None:
-        self._starts: list[tuple[Seconds, dict[str, tuple[int, int]]]] = []
+        self._test_starts: list[tuple[Seconds, dict[str, tuple[int, int]]]] = []
 
-    def find_harm(
+    def find_regressed_route(
         self, rollout: ServiceRollout, evidence: Sequence[VersionEvidence], now: Seconds
     ) -> str | None:
         """Return the route on which the new version is shown to be bad."""
         candidate = _sum_by_route(evidence, rollout, of_target=True)
         current = _sum_by_route(evidence, rollout, of_target=False)
-        if not self._starts or now - self._starts[-1][0] >= TEST_PERIOD_SECONDS:
-            self._starts.append((now, candidate))
+        if (
+            not self._test_starts
+            or now - self._test_starts[-1][0] >= TEST_PERIOD_SECONDS
+        ):
+            self._test_starts.append((now, candidate))
         limit = max(len(candidate), 1) / FALSE_STOP_RATE
         for route, (trials, bad) in candidate.items():
             known_trials, known_bad = current.get(route, (0, 0))
             rate = (known_bad + PRIOR_BAD) / (known_trials + PRIOR_TRIALS)
             baseline = min(rate + TOLERATED_RATE, 0.9)
             capital = 0.0
-            for _, since in self._starts:
+            for _, since in self._test_starts:
                 old_trials, old_bad = since.get(route, (0, 0))
                 new_bad = max(bad - old_bad, 0)
                 good = max(trials - old_trials - new_bad, 0)
                 capital += bet_above([Loss(1.0, new_bad), Loss(0.0, good)], baseline)
-            if capital / len(self._starts) >= limit:
+            if capital / len(self._test_starts) >= limit:
                 return route
         return None
 
@@ -174,7 +182,7 @@
 def choose_outcome(
     rollout: ServiceRollout,
     elapsed_seconds: float,
-    harm: str | None,
+    regressed_route: str | None,
     share: float,
     outstanding_before: int,
 ) -> RolloutOutcome:
@@ -186,7 +194,7 @@
         A roll-out in progress.
     elapsed_seconds : float
         Time since it was ordered.
-    harm : str or None
+    regressed_route : str or None
         Route on which the version is bad.
     share : float
         Part of the sessions on the new version.
@@ -194,15 +202,15 @@
         Requests that still run on other versions: their endpoints stop without
         draining once the roll-out is completed.
     """
-    if harm is not None:
+    if regressed_route is not None:
         return RolloutOutcome.ROLLED_BACK
-    part = _measure_part(rollout, elapsed_seconds)
-    if share < 1.0 or part < STAGES[-1][0]:
+    fraction = _compute_elapsed_fraction(rollout, elapsed_seconds)
+    if share < 1.0 or fraction < STAGES[-1][0]:
         return RolloutOutcome.IN_PROGRESS
-    if part >= END_PART:
+    if fraction >= END_FRACTION:
         return RolloutOutcome.COMPLETED
-    settled = STAGES[-1][0] + (END_PART - STAGES[-1][0]) / 2
-    if outstanding_before == 0 and part >= settled:
+    settled = STAGES[-1][0] + (END_FRACTION - STAGES[-1][0]) / 2
+    if outstanding_before == 0 and fraction >= settled:
         return RolloutOutcome.COMPLETED
     return RolloutOutcome.IN_PROGRESS
 
@@ -220,7 +228,7 @@
     return [VersionEvidence(*key, trials, bad) for key, (trials, bad) in totals.items()]
 
 
-class SessionMemory:
+class SessionVersions:
     """Versions that sessions were on, while they are open.
 
     Parameters
@@ -233,7 +241,7 @@
         self._seconds = session_seconds
         self._seen: dict[tuple[ServiceName, SessionId], tuple[str, Seconds]] = {}
 
-    def note(
+    def record(
         self, service: ServiceName, session: SessionId, version: str, now: Seconds
     ) -> None:
         """Note that a request of a session is on a version."""
@@ -245,10 +253,10 @@
         self, service: ServiceName, session: SessionId, now: Seconds
     ) -> str | None:
         """Return the version of an open session."""
-        held = self._seen.get((service, session))
-        if held is None or now - held[1] > self._seconds:
+        seen = self._seen.get((service, session))
+        if seen is None or now - seen[1] > self._seconds:
             return None
-        return held[0]
+        return seen[0]
 
     def list_open(self, rollout: ServiceRollout, now: Seconds) -> list[SessionId]:
         """Return open sessions of other versions that would be moved first."""
@@ -258,7 +266,7 @@
             for (service, session), (version, _) in self._seen.items()
             if service == rollout.service
             and version != rollout.target
-            and hash_subject(rollout, session) < FIRST_SHARE
+            and hash_affinity_key(rollout, session) < FIRST_SHARE
         ]
 
     def _expire(self, now: Seconds) -> None:
@@ -268,9 +276,9 @@
             del self._seen[key]
 
 
-def _measure_part(rollout: ServiceRollout, elapsed_seconds: float) -> float:
+def _compute_elapsed_fraction(rollout: ServiceRollout, elapsed_seconds: float) -> float:
     """Return the part of a roll-out's time that has passed."""
-    return elapsed_seconds / max(rollout.duration_seconds, LEAST_DURATION_SECONDS)
+    return elapsed_seconds / max(rollout.duration_seconds, MIN_DURATION_SECONDS)
 
 
 def _sum_by_route(
--- a/packages/core/src/bergamotwood_core/gateway/routing.py
+++ b/packages/core/src/bergamotwood_core/gateway/routing.py
@@ -5,12 +5,12 @@
 from bergamotwood_core.gateway.configuration import (
     GatewayConfiguration,
     GatewayService,
-    KeyHolder,
+    GatewayWorkspace,
     ServiceRoute,
 )
 from bergamotwood_core.ids import ServiceName
 
-UNIT_BITS = 64
+HASH_BITS = 64
 
 
 class RoutingTable:
@@ -27,8 +27,10 @@
         self._routes = {
             (route.host, route.path_prefix): route for route in configuration.routes
         }
-        self._holders = {
-            key: holder for holder in configuration.holders for key in holder.keys
+        self._workspaces = {
+            key: workspace
+            for workspace in configuration.holders
+            for key in workspace.keys
         }
         self._services = {service.name: service for service in configuration.services}
 
@@ -38,7 +40,7 @@
         return self.configuration.number
 
     @property
-    def asks_for_keys(self) -> bool:
+    def has_workspaces(self) -> bool:
         """Whether the configuration has workspaces at all."""
         return bool(self.configuration.holders)
 
@@ -53,29 +55,29 @@
             end = path.rfind("/", 0, end - 1) + 1 if end > 1 else -1
         return None
 
-    def find_holder(self, key: str) -> KeyHolder | None:
+    def find_workspace(self, key: str) -> GatewayWorkspace | None:
         """Return the workspace that a key belongs to."""
-        return self._holders.get(key)
+        return self._workspaces.get(key)
 
     def find_service(self, name: ServiceName) -> GatewayService | None:
         """Return a service by its name."""
         return self._services.get(name)
 
 
-def choose_destination(route: ServiceRoute, subject: str) -> ServiceName:
+def choose_destination(route: ServiceRoute, affinity_key: str) -> ServiceName:
     """Choose a service of a route by its weights, always the same for a subject.
 
     Parameters
     ----------
     route : ServiceRoute
         The route.
-    subject : str
+    affinity_key : str
         What is to stay together, such as a session's id.
     """
     if len(route.destinations) == 1:
         return route.destinations[0].service
     total = sum(destination.weight for destination in route.destinations)
-    point = hash_to_unit(f"{route.name}/{subject}") * total
+    point = hash_to_unit_interval(f"{route.name}/{affinity_key}") * total
     for destination in route.destinations:
         point -= destination.weight
         if point < 0.0:
@@ -84,7 +86,7 @@
     return positive[-1].service
 
 
-def hash_to_unit(text: str) -> float:
+def hash_to_unit_interval(text: str) -> float:
     """Return a number of [0, 1) that is equal for equal texts, everywhere."""
     digest = sha256(text.encode("utf-8", "surrogateescape")).digest()
-    return int.from_bytes(digest[: UNIT_BITS // 8]) / 2**UNIT_BITS
+    return int.from_bytes(digest[: HASH_BITS // 8]) / 2**HASH_BITS
--- a/packages/core/src/bergamotwood_core/gateway/machine.py
+++ b/packages/core/src/bergamotwood_core/gateway/state_machine.py
@@ -150,9 +150,9 @@
 
 
 ENCODER = Encoder()
-_COMMANDS = Decoder(GatewayCommand)
-_STATE = Decoder(GatewayState)
-OUTCOMES = Decoder(CommandOutcome)
+_COMMAND_DECODER = Decoder(GatewayCommand)
+_STATE_DECODER = Decoder(GatewayState)
+OUTCOME_DECODER = Decoder(CommandOutcome)
 
 
 def encode_command(command: GatewayCommand) -> bytes:
@@ -160,17 +160,17 @@
     return ENCODER.encode(command)
 
 
-def pack_document(document: bytes) -> bytes:
+def compress_document(document: bytes) -> bytes:
     """Compress a configuration: it crosses data centres once for each daemon."""
     return compress(document)
 
 
-def unpack_document(packed: bytes) -> bytes:
+def decompress_document(packed: bytes) -> bytes:
     """Return a configuration as the operator sent it."""
     return decompress(packed)
 
 
-class GatewayMachine:
+class GatewayStateMachine:
     """The state machine of the gateway's log."""
 
     def __init__(self) -> None:
@@ -178,7 +178,9 @@
 
     def apply(self, index: LogIndex, command: bytes) -> bytes:
         """Apply a command; an unreadable one changes nothing on any replica."""
-        return ENCODER.encode(self._carry_out(index, _COMMANDS.decode(command)))
+        return ENCODER.encode(
+            self._apply_command(index, _COMMAND_DECODER.decode(command))
+        )
 
     def snapshot(self) -> bytes:
         """Return the whole state."""
@@ -186,9 +188,11 @@
 
     def restore(self, snapshot: bytes) -> None:
         """Replace the whole state."""
-        self.state = _STATE.decode(snapshot)
+        self.state = _STATE_DECODER.decode(snapshot)
 
-    def _carry_out(self, index: LogIndex, command: GatewayCommand) -> CommandOutcome:
+    def _apply_command(
+        self, index: LogIndex, command: GatewayCommand
+    ) -> CommandOutcome:
         match command:
             case ReplaceConfiguration():
                 return self._replace_configuration(command)
@@ -208,11 +212,11 @@
         return CommandOutcome(True, True)
 
     def _begin_rollout(self, index: LogIndex, command: BeginRollout) -> CommandOutcome:
-        held = self.state.rollouts.get(command.service)
-        if held is not None and held.target == command.target:
-            return CommandOutcome(True, False, f"ordered already: {held.outcome}")
-        if held is not None and held.outcome is RolloutOutcome.IN_PROGRESS:
-            return CommandOutcome(False, False, f"{held.target} is being rolled out")
+        current = self.state.rollouts.get(command.service)
+        if current is not None and current.target == command.target:
+            return CommandOutcome(True, False, f"ordered already: {current.outcome}")
+        if current is not None and current.outcome is RolloutOutcome.IN_PROGRESS:
+            return CommandOutcome(False, False, f"{current.target} is being rolled out")
         self.state.rollouts[command.service] = ServiceRollout(
             command.service,
             command.target,
@@ -224,12 +228,12 @@
         return CommandOutcome(True, True)
 
     def _settle_rollout(self, command: SettleRollout) -> CommandOutcome:
-        held = self.state.rollouts.get(command.service)
-        if held is None or held.target != command.target:
+        current = self.state.rollouts.get(command.service)
+        if current is None or current.target != command.target:
             return CommandOutcome(False, False, "no such roll-out")
-        if held.outcome is not RolloutOutcome.IN_PROGRESS:
-            return CommandOutcome(True, False, f"settled already: {held.outcome}")
-        settled = replace(held, outcome=command.outcome)
+        if current.outcome is not RolloutOutcome.IN_PROGRESS:
+            return CommandOutcome(True, False, f"settled already: {current.outcome}")
+        settled = replace(current, outcome=command.outcome)
         self.state.rollouts[command.service] = settled
         return CommandOutcome(True, True)
 
--- a/packages/core/src/bergamotwood_core/gateway/suspects.py
+++ b/packages/core/src/bergamotwood_core/gateway/suspects.py
@@ -14,9 +14,9 @@
 NEVER = Seconds(float("-inf"))
 # Endpoints that a request must have crashed, with no success at any entry in between:
 # two may be chance while endpoints crash for another reason.
-SUSPECT_CRASHES = 3
+MIN_SUSPECT_CRASHES = 3
 # How long a crash is remembered, and so the longest suspension.
-MEMORY_SECONDS = 30.0
+CRASH_RETENTION_SECONDS = 30.0
 # Crashes remembered by one entry; more would be endpoints that fail by themselves.
 MAX_CRASHES = 64
 
@@ -61,10 +61,10 @@
     def __init__(self) -> None:
         self._own: list[tuple[Crash, Seconds]] = []
         self._others: list[tuple[Crash, Seconds]] = []
-        self._cleared: dict[Fingerprint, Seconds] = {}
-        self._cleared_elsewhere: dict[Fingerprint, Seconds] = {}
+        self._cleared_at: dict[Fingerprint, Seconds] = {}
+        self._cleared_by_others_at: dict[Fingerprint, Seconds] = {}
 
-    def note_crash(
+    def record_crash(
         self,
         fingerprint: Fingerprint,
         endpoint: EndpointId,
@@ -75,23 +75,23 @@
         self._own.append((Crash(fingerprint, endpoint, incarnation), now))
         del self._own[:-MAX_CRASHES]
 
-    def note_success(self, fingerprint: Fingerprint, now: Seconds) -> None:
+    def record_success(self, fingerprint: Fingerprint, now: Seconds) -> None:
         """Clear a request of all crashes up to now."""
         if self._list_crashes(fingerprint, now):
-            self._cleared[fingerprint] = now
+            self._cleared_at[fingerprint] = now
 
-    def take_reports(
+    def apply_reports(
         self, crashes: Iterable[Crash], successes: Iterable[Success], now: Seconds
     ) -> None:
         """Take in what all other entries report."""
         self._others = [(crash, Seconds(now - crash.age_seconds)) for crash in crashes]
-        self._cleared_elsewhere = {}
+        self._cleared_by_others_at = {}
         for success in successes:
             at = Seconds(now - success.age_seconds)
-            held = self._cleared_elsewhere.get(success.fingerprint, NEVER)
-            self._cleared_elsewhere[success.fingerprint] = max(held, at)
+            known = self._cleared_by_others_at.get(success.fingerprint, NEVER)
+            self._cleared_by_others_at[success.fingerprint] = max(known, at)
 
-    def list_own(self, now: Seconds) -> tuple[Crash, ...]:
+    def list_own_crashes(self, now: Seconds) -> tuple[Crash, ...]:
         """Return the crashes to report to other entries."""
         self._expire(now)
         return tuple(
@@ -99,7 +99,7 @@
                 crash.fingerprint, crash.endpoint, crash.incarnation, round(now - at, 2)
             )
             for crash, at in self._own
-            if at > self._find_success(crash.fingerprint)
+            if at > self._find_last_success(crash.fingerprint)
         )
 
     def list_successes(self, now: Seconds) -> tuple[Success, ...]:
@@ -107,37 +107,37 @@
         self._expire(now)
         return tuple(
             Success(fingerprint, round(now - at, 2))
-            for fingerprint, at in self._cleared.items()
+            for fingerprint, at in self._cleared_at.items()
         )
 
-    def measure_suspension(self, fingerprint: Fingerprint, now: Seconds) -> float:
+    def compute_suspension(self, fingerprint: Fingerprint, now: Seconds) -> float:
         """Return seconds for which a request is refused; 0 when it is not."""
         crashes = self._list_crashes(fingerprint, now)
-        places = {(crash.endpoint, crash.incarnation) for crash, _ in crashes}
-        if len(places) < SUSPECT_CRASHES:
+        incarnations = {(crash.endpoint, crash.incarnation) for crash, _ in crashes}
+        if len(incarnations) < MIN_SUSPECT_CRASHES:
             return 0.0
         newest = max(at for _, at in crashes)
-        return max(newest + MEMORY_SECONDS - now, 0.0)
+        return max(newest + CRASH_RETENTION_SECONDS - now, 0.0)
 
     def _list_crashes(
         self, fingerprint: Fingerprint, now: Seconds
     ) -> list[tuple[Crash, Seconds]]:
-        since = max(self._find_success(fingerprint), now - MEMORY_SECONDS)
+        since = max(self._find_last_success(fingerprint), now - CRASH_RETENTION_SECONDS)
         return [
             (crash, at)
             for crash, at in (*self._own, *self._others)
             if crash.fingerprint == fingerprint and at > since
         ]
 
-    def _find_success(self, fingerprint: Fingerprint) -> Seconds:
+    def _find_last_success(self, fingerprint: Fingerprint) -> Seconds:
         """Return when any entry last saw the request answered."""
         return max(
-            self._cleared.get(fingerprint, NEVER),
-            self._cleared_elsewhere.get(fingerprint, NEVER),
+            self._cleared_at.get(fingerprint, NEVER),
+            self._cleared_by_others_at.get(fingerprint, NEVER),
         )
 
     def _expire(self, now: Seconds) -> None:
-        limit = now - MEMORY_SECONDS
+        limit = now - CRASH_RETENTION_SECONDS
         self._own = [(crash, at) for crash, at in self._own if at > limit]
-        for fingerprint in [key for key, at in self._cleared.items() if at < limit]:
-            del self._cleared[fingerprint]
+        for fingerprint in [key for key, at in self._cleared_at.items() if at < limit]:
+            del self._cleared_at[fingerprint]
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -6,10 +6,10 @@
 import h11
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.call import Call, ForwardTerms
+from bergamotwood_core.gateway.call import Call, ForwardMetadata
 from bergamotwood_core.gateway.configuration import RouteKind
-from bergamotwood_core.gateway.endpoints import EndpointBeat
-from bergamotwood_core.gateway.health import Result
+from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
+from bergamotwood_core.gateway.health import AttemptResult
 from bergamotwood_daemon.gateway.client import (
     BrokenError,
     EndpointConnection,
@@ -41,9 +41,9 @@
     response: HttpResponse
 
     @property
-    def result(self) -> Result:
+    def result(self) -> AttemptResult:
         """What it means for the endpoint's health."""
-        return Result.ERROR if self.response.status >= 500 else Result.OK
+        return AttemptResult.ERROR if self.response.status >= 500 else AttemptResult.OK
 
     @property
     def reason(self) -> str:
@@ -56,7 +56,7 @@
     """It is certain that the endpoint has not run the request."""
 
     reason: str
-    result: Result
+    result: AttemptResult
     was_sent: bool
 
 
@@ -65,7 +65,7 @@
     """The endpoint may have run the request."""
 
     reason: str
-    result: Result
+    result: AttemptResult
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     """The answer is not wanted; another model is to answer."""
 
     reason: str
-    result: Result = Result.OK
+    result: AttemptResult = AttemptResult.OK
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
     """The caller has the whole answer."""
 
     reason: str = ""
-    result: Result = Result.OK
+    result: AttemptResult = AttemptResult.OK
 
 
 Outcome = Answered | NotRun | Unclear | Dropped | Delivered
@@ -98,7 +98,7 @@
         The request.
     request : HttpRequest
         As the caller sent it.
-    beat : EndpointBeat
+    beat : EndpointHeartbeat
         The endpoint.
     write_terms : callable
         Returns what to say to the endpoint, just before it is sent; raises
@@ -110,8 +110,8 @@
         entry: GatewayEntry,
         call: Call,
         request: HttpRequest,
-        beat: EndpointBeat,
-        write_terms: Callable[[Call, "Attempt"], ForwardTerms],
+        beat: EndpointHeartbeat,
+        write_terms: Callable[[Call, "Attempt"], ForwardMetadata],
     ) -> None:
         self.beat = beat
         self.started_at = entry.clock()
@@ -151,11 +151,11 @@
                 pieces.append(bytes(event.data))
                 size += len(event.data)
                 if size > MAX_ANSWER_BYTES:
-                    return Unclear("answer too large", Result.BROKEN)
+                    return Unclear("answer too large", AttemptResult.BROKEN)
         except BrokenError as error:
-            return Unclear(str(error), Result.BROKEN)
+            return Unclear(str(error), AttemptResult.BROKEN)
         except SilentError as error:
-            return Unclear(str(error), Result.SILENT)
+            return Unclear(str(error), AttemptResult.SILENT)
         self.keep_connection()
         headers = strip_connection_fields(list(head.headers))
         return Answered(HttpResponse(head.status_code, headers, b"".join(pieces)))
@@ -165,27 +165,27 @@
         try:
             self._send()
         except NotConnectedError as error:
-            return NotRun(str(error), Result.UNREACHABLE, was_sent=False)
+            return NotRun(str(error), AttemptResult.UNREACHABLE, was_sent=False)
         except BrokenError as error:
             self._call.runs += 1
-            return Unclear(str(error), Result.BROKEN)
+            return Unclear(str(error), AttemptResult.BROKEN)
         try:
             head = self._receive_head()
             while isinstance(head, h11.InformationalResponse):
                 head = self._receive_head()
         except BrokenError as error:
             self._call.runs += 1
-            return Unclear(str(error), Result.BROKEN)
+            return Unclear(str(error), AttemptResult.BROKEN)
         except SilentError as error:
             self._call.runs += 1
-            return Unclear(str(error), Result.SILENT)
+            return Unclear(str(error), AttemptResult.SILENT)
         self.head_at = self._entry.clock()
         return self._check(head)
 
     def receive(self, seconds: float) -> h11.Event:
         """Return the next event of the response."""
         event = self._connection.receive(max(seconds, 0.0))
-        self._entry.health.note_heard(
+        self._entry.health.record_traffic(
             self.beat.endpoint, self.beat.incarnation, self._entry.clock()
         )
         return event
@@ -203,7 +203,7 @@
 
     def _send(self) -> None:
         request = self._request
-        fresh = not self._call.route.is_repeatable
+        fresh = not self._call.route.is_retryable
         self._connection = self._entry.pool.take(self.beat.address, fresh)
         terms = self._write_terms(self._call, self)
         headers = self._entry.dialect.write_forward(
@@ -227,25 +227,25 @@
 
     def _should_leave(self, now: Seconds) -> bool:
         route = self._call.route
-        if not route.is_repeatable or self._call.runs + 1 >= route.max_attempts:
+        if not route.is_retryable or self._call.runs + 1 >= route.max_attempts:
             return False
         if now - self.started_at < DARK_CHECK_SECONDS:
             return False
-        return self._entry.placement.is_dark(self.beat, now)
+        return self._entry.placement.is_unresponsive(self.beat, now)
 
     def _check(self, head: h11.Response) -> h11.Response | Outcome:
         terms = self._entry.dialect.read_answer(list(head.headers))
         if terms.is_not_run or head.status_code == MISDIRECTED:
             self.close()
-            result = Result.FULL
+            result = AttemptResult.FULL
             if head.status_code == MISDIRECTED:
-                result = Result.REPLACED
+                result = AttemptResult.REPLACED
             return NotRun(f"refused with {head.status_code}", result, was_sent=True)
         self._call.runs += 1
         if not terms.is_signed or terms.request != self._call.terms.request:
-            return Unclear("response of another request", Result.BROKEN)
+            return Unclear("response of another request", AttemptResult.BROKEN)
         if any(name == b"content-encoding" for name, _ in head.headers):
-            return Unclear("response with an encoding", Result.BROKEN)
+            return Unclear("response with an encoding", AttemptResult.BROKEN)
         return head
 
     def _measure_patience(self) -> float:
@@ -253,7 +253,7 @@
         route = self._call.route
         left = self._time_left()
         last = self._call.runs + 1 >= route.max_attempts
-        if last or not route.is_repeatable or route.kind is RouteKind.STREAMING:
+        if last or not route.is_retryable or route.kind is RouteKind.STREAMING:
             return left
         silence = max(
             SILENT_OBJECTIVES * route.objective_seconds, LEAST_SILENCE_SECONDS
--- a/packages/daemon/src/bergamotwood_daemon/gateway/belief.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/belief.py
@@ -6,11 +6,11 @@
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.errors import Code, RefusedError, RequestError
 from bergamotwood_core.gateway.configuration import CallerLimits, GatewayConfiguration
-from bergamotwood_core.gateway.endpoints import EndpointBeat
+from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
 from bergamotwood_core.gateway.load import EndpointLoad
-from bergamotwood_core.gateway.machine import unpack_document
 from bergamotwood_core.gateway.rollout import RolloutView
 from bergamotwood_core.gateway.routing import RoutingTable
+from bergamotwood_core.gateway.state_machine import decompress_document
 from bergamotwood_core.gateway.suspects import Crash, Success
 from bergamotwood_core.ids import EndpointId, InstanceId, ServiceName, SessionId
 from bergamotwood_daemon.gateway.dialect import Dialect
@@ -43,7 +43,7 @@
         key_lease_seconds: float,
     ) -> None:
         self.routing: RoutingTable | None = None
-        self.beats: dict[EndpointId, EndpointBeat] = {}
+        self.beats: dict[EndpointId, EndpointHeartbeat] = {}
         self.entries: tuple[EntryAddress, ...] = ()
         self.loads: dict[EndpointId, EndpointLoad] = {}
         self.crashes: tuple[Crash, ...] = ()
@@ -167,4 +167,4 @@
         )
 
     def _read(self, document: bytes) -> GatewayConfiguration:
-        return self._dialect.decode_configuration(unpack_document(document))
+        return self._dialect.decode_configuration(decompress_document(document))
--- a/packages/daemon/src/bergamotwood_daemon/gateway/counters.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/counters.py
@@ -1,7 +1,7 @@
 """Counters and histograms of an entry, as text for its metrics address."""
 
 from bergamotwood_core.gateway.call import Call
-from bergamotwood_core.gateway.health import Result
+from bergamotwood_core.gateway.health import AttemptResult
 from bergamotwood_daemon.gateway.server import Exchange
 
 # Bounds that fit objectives from 0.1 s to 4 s and deadlines up to 25 s.
@@ -28,7 +28,7 @@
         buckets[at] += 1
         self._sums[kind] = self._sums.get(kind, 0.0) + seconds
 
-    def note_attempt(self, call: Call, result: Result) -> None:
+    def note_attempt(self, call: Call, result: AttemptResult) -> None:
         """Count an attempt by service and result."""
         self._count("attempts_total", f'service="{call.service}",result="{result}"')
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/dialect.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/dialect.py
@@ -2,7 +2,11 @@
 
 from typing import Protocol
 
-from bergamotwood_core.gateway.call import AnswerTerms, CallTerms, ForwardTerms
+from bergamotwood_core.gateway.call import (
+    ForwardMetadata,
+    RequestMetadata,
+    ResponseMetadata,
+)
 from bergamotwood_core.gateway.configuration import GatewayConfiguration
 from bergamotwood_core.ids import RequestId
 from bergamotwood_daemon.gateway.message import Headers
@@ -11,7 +15,7 @@
 class Dialect(Protocol):
     """Header fields and documents of a platform, in the gateway's own types."""
 
-    def read_call(self, headers: Headers) -> CallTerms:
+    def read_call(self, headers: Headers) -> RequestMetadata:
         """Return what a caller says of its request.
 
         Raises
@@ -21,7 +25,7 @@
         """
         ...
 
-    def write_forward(self, headers: Headers, terms: ForwardTerms) -> Headers:
+    def write_forward(self, headers: Headers, terms: ForwardMetadata) -> Headers:
         """Return a caller's header fields as an endpoint is to get them."""
         ...
 
@@ -29,7 +33,7 @@
         """Return the id of a request, empty without one."""
         ...
 
-    def read_answer(self, headers: Headers) -> AnswerTerms:
+    def read_answer(self, headers: Headers) -> ResponseMetadata:
         """Return what an endpoint says of its response."""
         ...
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entries.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entries.py
@@ -63,7 +63,7 @@
     def list_loads(self, instance: InstanceId) -> dict[EndpointId, EndpointLoad]:
         """Return the load that all entries but one put on each endpoint."""
         held = self._statuses.get(instance)
-        return self._loads.list_beside(held.loads if held else {})
+        return self._loads.list_without(held.loads if held else {})
 
     def list_crashes(self, instance: InstanceId) -> tuple[Crash, ...]:
         """Return what all entries but one report of crashing requests."""
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
@@ -5,18 +5,18 @@
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.call import Call
-from bergamotwood_core.gateway.endpoints import EndpointBeat
+from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
 from bergamotwood_core.gateway.health import HealthTable
+from bergamotwood_core.gateway.latency import LatencyTable, Timing
 from bergamotwood_core.gateway.load import LoadTable
-from bergamotwood_core.gateway.machine import RolloutOutcome
-from bergamotwood_core.gateway.pace import PaceTable, Timing
 from bergamotwood_core.gateway.placement import Placement
 from bergamotwood_core.gateway.retries import RetryBudget
 from bergamotwood_core.gateway.rollout import (
     RolloutView,
-    SessionMemory,
+    SessionVersions,
     is_on_target,
 )
+from bergamotwood_core.gateway.state_machine import RolloutOutcome
 from bergamotwood_core.gateway.suspects import SuspectTable
 from bergamotwood_core.ids import DataCentre, Incarnation, SessionId
 from bergamotwood_daemon.gateway.belief import Belief
@@ -80,10 +80,10 @@
             settings.data_centre, self.health, self.loads.find, rng
         )
         self.counters = EntryCounters()
-        self.pace = PaceTable()
+        self.pace = LatencyTable()
         self.evidence = EvidenceCounter()
         self.suspects = SuspectTable()
-        self.sessions = SessionMemory(bounds.session_seconds)
+        self.sessions = SessionVersions(bounds.session_seconds)
         self.budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_seconds
         )
@@ -114,7 +114,7 @@
         near = [name for name, at in addresses.items() if at == data_centre]
         return (near or list(addresses))[:MAX_ADDRESSES]
 
-    def list_allowed_beats(self, call: Call) -> list[list[EndpointBeat]]:
+    def list_allowed_beats(self, call: Call) -> list[list[EndpointHeartbeat]]:
         """Return the endpoints whose version may get a request, preferred first."""
         beats = [
             beat for beat in self.belief.beats.values() if beat.service == call.service
@@ -135,13 +135,13 @@
     def take_reports(self) -> None:
         """Take in what the control group and other entries report."""
         self.placement.silent = self.belief.silent
-        self.loads.report(self.belief.loads)
-        self.suspects.take_reports(
+        self.loads.set_others(self.belief.loads)
+        self.suspects.apply_reports(
             self.belief.crashes, self.belief.successes, self.clock()
         )
 
     def note_outcome(
-        self, call: Call, beat: EndpointBeat, is_bad: bool, timing: Timing | None
+        self, call: Call, beat: EndpointHeartbeat, is_bad: bool, timing: Timing | None
     ) -> None:
         """Take in how a request ended on an endpoint's version."""
         is_slow = timing is not None and self.pace.is_slow(
@@ -153,16 +153,16 @@
             self.evidence.note(view.rollout, beat.version, call, is_bad or is_slow)
         is_usual = not runs or beat.version != view.rollout.target
         if timing is not None and not is_bad and is_usual:
-            self.pace.note(
+            self.pace.record(
                 call.route.name, call.model, timing, call.terms.expected_tokens
             )
 
     def maintain(self) -> None:
         """Drop what has expired; to be called about each second."""
         self.pool.expire()
-        self.health.keep(set(self.belief.beats))
-        self.placement.memory.keep(set(self.belief.beats))
-        self.budget.entries = max(len(self.belief.entries), 1)
+        self.health.retain(set(self.belief.beats))
+        self.placement.prefix_cache.retain(set(self.belief.beats))
+        self.budget.instance_count = max(len(self.belief.entries), 1)
 
     def list_gauges(self) -> dict[str, float]:
         """Return the present values for the metrics address."""
@@ -171,7 +171,7 @@
             "belief_age_seconds": round(self.belief.age, 3),
             "endpoints": len(self.belief.beats),
             "entries": len(self.belief.entries),
-            "outstanding": self.loads.count(),
+            "outstanding": self.loads.count_requests(),
             "connections_opened_total": self.pool.opened,
             "log_lines_dropped_total": count_dropped_lines(),
             "silent_endpoints": len(self.belief.silent),
@@ -188,10 +188,10 @@
             ),
             self._incarnation,
             self._sequence,
-            self.loads.describe(),
+            self.loads.list_own(),
             self.evidence.list_counts(),
             self._list_open_sessions(),
-            self.suspects.list_own(self.clock()),
+            self.suspects.list_own_crashes(self.clock()),
             self.suspects.list_successes(self.clock()),
         )
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/evidence.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/evidence.py
@@ -1,8 +1,8 @@
 """What an entry has seen of versions that are being rolled out."""
 
 from bergamotwood_core.gateway.call import Call
-from bergamotwood_core.gateway.machine import ServiceRollout
 from bergamotwood_core.gateway.rollout import VersionEvidence
+from bergamotwood_core.gateway.state_machine import ServiceRollout
 from bergamotwood_core.ids import LogIndex, ServiceName
 
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -13,21 +13,25 @@
     RefusedError,
     RequestError,
 )
-from bergamotwood_core.gateway.call import Call, CallTerms, ForwardTerms
-from bergamotwood_core.gateway.configuration import KeyHolder, RouteKind, ServiceRoute
-from bergamotwood_core.gateway.health import Result
+from bergamotwood_core.gateway.call import Call, ForwardMetadata, RequestMetadata
+from bergamotwood_core.gateway.configuration import (
+    GatewayWorkspace,
+    RouteKind,
+    ServiceRoute,
+)
+from bergamotwood_core.gateway.health import AttemptResult
+from bergamotwood_core.gateway.latency import Timing
 from bergamotwood_core.gateway.models import (
+    can_finish_in_time,
     choose_first_model,
     choose_next_model,
-    fits,
 )
-from bergamotwood_core.gateway.pace import Timing
 from bergamotwood_core.gateway.placement import (
     Candidate,
-    choose_subject,
+    find_affinity_key,
     list_models,
 )
-from bergamotwood_core.gateway.retries import may_send_again
+from bergamotwood_core.gateway.retries import may_retry
 from bergamotwood_core.gateway.routing import RoutingTable, choose_destination
 from bergamotwood_core.ids import Fingerprint, ModelName
 from bergamotwood_core.states import Run
@@ -119,7 +123,7 @@
             model=terms.model,
         )
         self._check_suspicion(call)
-        entry.budget.note_request(call.service, entry.clock())
+        entry.budget.record_request(call.service, entry.clock())
         if terms.leaves_model_open:
             call.model = self._choose_model(call)
         return call
@@ -127,7 +131,7 @@
     def _check_suspicion(self, call: Call) -> None:
         """Refuse a request that has crashed endpoints, here or at other entries."""
         entry = self._entry
-        seconds = entry.suspects.measure_suspension(call.fingerprint, entry.clock())
+        seconds = entry.suspects.compute_suspension(call.fingerprint, entry.clock())
         if seconds > 0.0:
             raise RefusedError(
                 f"suspended for {seconds:.1f} s: it crashed several endpoints",
@@ -136,12 +140,12 @@
             )
 
     def _authorize(
-        self, routing: RoutingTable, route: ServiceRoute, terms: CallTerms
-    ) -> KeyHolder | None:
-        if not route.requires_key or not routing.asks_for_keys:
+        self, routing: RoutingTable, route: ServiceRoute, terms: RequestMetadata
+    ) -> GatewayWorkspace | None:
+        if not route.requires_key or not routing.has_workspaces:
             return None
         self._entry.belief.require_lease()
-        holder = routing.find_holder(terms.key)
+        holder = routing.find_workspace(terms.key)
         if holder is None:
             raise AuthorizationError("unknown key")
         return holder
@@ -172,8 +176,8 @@
         while True:
             candidate = self._choose(call, last, relay)
             if call.tried:
-                self._entry.budget.note_repeat(call.service, self._entry.clock())
-            call.tried.append(candidate.beat.endpoint)
+                self._entry.budget.record_retry(call.service, self._entry.clock())
+            call.tried.append(candidate.heartbeat.endpoint)
             self._note_session(call, candidate)
             last = self._try(call, candidate, exchange, relay)
             if exchange.is_finished:
@@ -203,10 +207,10 @@
 
     def _note_session(self, call: Call, candidate: Candidate) -> None:
         if call.terms.session:
-            self._entry.sessions.note(
+            self._entry.sessions.record(
                 call.service,
                 call.terms.session,
-                candidate.beat.version,
+                candidate.heartbeat.version,
                 self._entry.clock(),
             )
 
@@ -218,18 +222,18 @@
         relay: StreamRelay,
     ) -> Outcome:
         entry = self._entry
-        beat = candidate.beat
+        beat = candidate.heartbeat
         started_at = entry.clock()
         request = call.terms.request
-        reading = entry.placement.estimate_reading(candidate, call)
-        entry.loads.start(beat.endpoint, request, reading)
-        entry.placement.note_sent(candidate, call)
+        reading = entry.placement.estimate_prefill(candidate, call)
+        entry.loads.add_request(beat.endpoint, request, reading)
+        entry.placement.record_send(candidate, call)
         attempt = Attempt(entry, call, exchange.request, beat, self._write_terms)
         outcome: Outcome | None = None
         try:
             outcome = self._run(call, candidate, attempt, exchange, relay)
         finally:
-            entry.loads.end(beat.endpoint, request)
+            entry.loads.remove_request(beat.endpoint, request)
             attempt.close()
             if outcome is not None:
                 timing = self._measure(outcome, attempt, relay, started_at)
@@ -272,9 +276,9 @@
 
     def _note_begun(self, call: Call, candidate: Candidate, attempt: Attempt) -> None:
         entry = self._entry
-        entry.loads.begin(candidate.beat.endpoint, call.terms.request)
+        entry.loads.mark_prefilled(candidate.heartbeat.endpoint, call.terms.request)
         seconds = attempt.head_at - attempt.started_at
-        entry.placement.note_begun(candidate, call, seconds)
+        entry.placement.record_answer_start(candidate, call, seconds)
 
     def _find_larger_model(
         self, call: Call, head: h11.Response, relay: StreamRelay
@@ -301,7 +305,7 @@
             call.route.name, model, call.terms.expected_tokens
         )
         left = call.deadline - self._entry.clock()
-        if fits(seconds, left):
+        if can_finish_in_time(seconds, left):
             return True
         log_event(
             "attempt",
@@ -314,9 +318,9 @@
         )
         return False
 
-    def _write_terms(self, call: Call, attempt: Attempt) -> ForwardTerms:
+    def _write_terms(self, call: Call, attempt: Attempt) -> ForwardMetadata:
         self._check_key_again(call)
-        return ForwardTerms(
+        return ForwardMetadata(
             endpoint=attempt.beat.endpoint,
             patience_seconds=call.deadline - self._entry.clock(),
             workspace=call.holder.workspace if call.holder else None,
@@ -333,7 +337,7 @@
             return
         belief = self._entry.belief
         belief.require_lease()
-        if belief.require_routing().find_holder(call.terms.key) is None:
+        if belief.require_routing().find_workspace(call.terms.key) is None:
             raise AuthorizationError("the key was taken away")
 
     def _is_worth_repeating(self, call: Call, outcome: Answered) -> bool:
@@ -345,9 +349,9 @@
         entry = self._entry
         now = entry.clock()
         has_run = not isinstance(outcome, NotRun)
-        if not may_send_again(call, has_run, now):
+        if not may_retry(call, has_run, now):
             return False
-        if entry.suspects.measure_suspension(call.fingerprint, now) > 0.0:
+        if entry.suspects.compute_suspension(call.fingerprint, now) > 0.0:
             return False
         unsent = isinstance(outcome, NotRun) and not outcome.was_sent
         return unsent or entry.budget.allows(call.service, now)
@@ -372,9 +376,9 @@
         timing: Timing,
     ) -> None:
         entry = self._entry
-        beat = candidate.beat
+        beat = candidate.heartbeat
         result = outcome.result
-        entry.health.note(
+        entry.health.record_result(
             beat.endpoint,
             beat.incarnation,
             result,
@@ -383,14 +387,14 @@
         )
         entry.counters.note_attempt(call, result)
         if isinstance(outcome, Answered | Delivered | Unclear):
-            is_bad = result is not Result.OK
+            is_bad = result is not AttemptResult.OK
             entry.note_outcome(call, beat, is_bad, None if is_bad else timing)
-        if isinstance(outcome, Unclear) and result is Result.BROKEN:
-            entry.suspects.note_crash(
+        if isinstance(outcome, Unclear) and result is AttemptResult.BROKEN:
+            entry.suspects.record_crash(
                 call.fingerprint, beat.endpoint, beat.incarnation, entry.clock()
             )
-        if result is Result.OK:
-            entry.suspects.note_success(call.fingerprint, entry.clock())
+        if result is AttemptResult.OK:
+            entry.suspects.record_success(call.fingerprint, entry.clock())
             return
         log_event(
             "attempt",
@@ -425,7 +429,7 @@
 
     def _conclude_failure(self, last: Outcome) -> None:
         match last:
-            case Unclear(reason) if last.result is Result.SILENT:
+            case Unclear(reason) if last.result is AttemptResult.SILENT:
                 raise EndpointError(reason, Code.STREAM_SILENT)
             case _:
                 raise EndpointError(last.reason, Code.ENDPOINT_FAILED)
@@ -441,7 +445,7 @@
             session=call.terms.session,
             prompt_tokens=call.terms.prompt_tokens,
             output_tokens=call.terms.output_tokens,
-            subject=choose_subject(call),
+            subject=find_affinity_key(call),
             **_describe_timing(call.timing),
             milliseconds=round(1000 * (self._entry.clock() - call.received_at), 1),
             configuration=self._entry.belief.number,
@@ -471,7 +475,9 @@
         exchange.answer(HttpResponse(error.status, headers, encode_problem(error)))
 
 
-def _make_fingerprint(exchange: Exchange, holder: KeyHolder | None) -> Fingerprint:
+def _make_fingerprint(
+    exchange: Exchange, holder: GatewayWorkspace | None
+) -> Fingerprint:
     request = exchange.request
     digest = sha256(request.method + b" " + request.target + b"\n")
     digest.update((holder.workspace if holder else "").encode() + b"\n")
--- a/packages/daemon/src/bergamotwood_daemon/gateway/peering.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/peering.py
@@ -3,10 +3,10 @@
 from msgspec import Struct
 from msgspec.msgpack import Decoder, Encoder
 
-from bergamotwood_core.gateway.endpoints import EndpointBeat
+from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
 from bergamotwood_core.gateway.load import EndpointLoad
-from bergamotwood_core.gateway.machine import ServiceRollout
 from bergamotwood_core.gateway.rollout import RolloutView, VersionEvidence
+from bergamotwood_core.gateway.state_machine import ServiceRollout
 from bergamotwood_core.gateway.suspects import Crash, Success
 from bergamotwood_core.ids import (
     DataCentre,
@@ -112,7 +112,7 @@
         Newest roll-out of each service.
     boot, version : str, int
         Version of the directory.
-    beats : tuple of EndpointBeat or None
+    beats : tuple of EndpointHeartbeat or None
         All endpoints, when the entry holds another version.
     entries : tuple of EntryAddress or None
         All live entries, when the entry holds another version.
@@ -135,7 +135,7 @@
     rollouts: tuple[RolloutView, ...]
     boot: str
     version: int
-    beats: tuple[EndpointBeat, ...] | None
+    beats: tuple[EndpointHeartbeat, ...] | None
     entries: tuple[EntryAddress, ...] | None
     loads: dict[EndpointId, EndpointLoad] = {}
     crashes: tuple[Crash, ...] = ()
@@ -147,7 +147,7 @@
 class Relay(Struct, frozen=True, array_like=True, tag=2):
     """Soft state that a replica passes on to the others."""
 
-    beats: tuple[EndpointBeat, ...]
+    beats: tuple[EndpointHeartbeat, ...]
     statuses: tuple[EntryStatus, ...]
 
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -17,21 +17,21 @@
     ReplicationError,
     RequestError,
 )
-from bergamotwood_core.gateway.configuration import find_faults
-from bergamotwood_core.gateway.endpoints import EndpointBeat, EndpointDirectory
-from bergamotwood_core.gateway.machine import (
-    OUTCOMES,
+from bergamotwood_core.gateway.configuration import find_configuration_errors
+from bergamotwood_core.gateway.endpoints import EndpointDirectory, EndpointHeartbeat
+from bergamotwood_core.gateway.state_machine import (
+    OUTCOME_DECODER,
     BeginRollout,
     CommandOutcome,
     GatewayCommand,
-    GatewayMachine,
+    GatewayStateMachine,
     RecordDeparture,
     ReplaceConfiguration,
     ServiceRollout,
     SettleRollout,
+    compress_document,
+    decompress_document,
     encode_command,
-    pack_document,
-    unpack_document,
 )
 from bergamotwood_core.ids import EndpointId, Incarnation, InstanceId, ServiceName
 from bergamotwood_core.states import EndpointState
@@ -113,14 +113,14 @@
         self._dialect = dialect
         self._clock = clock
         self._boot = token_hex(8)
-        self._machine = GatewayMachine()
+        self._machine = GatewayStateMachine()
         self._senders = ReplicationSenders()
         self._channels = PeerChannels()
         self._relays = PeerChannels()
         self.directory = EndpointDirectory(ENDPOINT_SILENCE_SECONDS)
         self.entries = EntryTable(clock)
         self._news = Event()
-        self._beats: list[EndpointBeat] = []
+        self._beats: list[EndpointHeartbeat] = []
         self._statuses: list[EntryStatus] = []
         self._applied_number = -1
         self._woken_at = -1
@@ -172,10 +172,12 @@
             When no majority confirms it in time.
         """
         configuration = self._dialect.decode_configuration(document)
-        faults = find_faults(configuration)
+        faults = find_configuration_errors(configuration)
         if faults:
             raise RequestError("; ".join(faults[:8]), Code.TICKET_INVALID)
-        command = ReplaceConfiguration(configuration.number, pack_document(document))
+        command = ReplaceConfiguration(
+            configuration.number, compress_document(document)
+        )
         return self._commit(command)
 
     def read_configuration(self) -> bytes:
@@ -191,7 +193,7 @@
         state = self._read_state()
         if state.number < 0:
             raise RefusedError("no configuration yet", Code.CONFIG_STALE)
-        return unpack_document(state.document)
+        return decompress_document(state.document)
 
     def begin_rollout(
         self, service: ServiceName, target: str, duration_seconds: float
@@ -224,7 +226,7 @@
                 return rollout
         return None
 
-    def take_beat(self, beat: EndpointBeat) -> None:
+    def take_beat(self, beat: EndpointHeartbeat) -> None:
         """Take in a beat; that an endpoint leaves is committed first.
 
         Raises
@@ -236,7 +238,7 @@
             self.record_departure(beat.endpoint, beat.incarnation, beat.state)
             return
         version = self.directory.version
-        if not self.directory.take_beat(beat, self._clock()):
+        if not self.directory.apply_heartbeat(beat, self._clock()):
             return
         self._beats.append(beat)
         if self.directory.version != version:
@@ -320,7 +322,7 @@
             case Relay(beats, statuses):
                 now = self._clock()
                 for beat in beats:
-                    self.directory.take_beat(beat, now)
+                    self.directory.apply_heartbeat(beat, now)
                 for status in statuses:
                     self.entries.take(status)
                 self._wake_if_news()
@@ -337,7 +339,7 @@
             # The next tick comes to the same verdict.
             log_event("rollout", "Verdict not committed.", reason=error.detail)
 
-    def _log_endpoint(self, beat: EndpointBeat) -> None:
+    def _log_endpoint(self, beat: EndpointHeartbeat) -> None:
         log_event(
             "directory",
             "Endpoint announced.",
@@ -371,7 +373,7 @@
             rollouts=self.rollouts.list_views(),
             boot=self._boot,
             version=self._version,
-            beats=None if known else self.directory.list_beats(),
+            beats=None if known else self.directory.list_heartbeats(),
             entries=None if known else self.entries.list_addresses(),
             loads=self.entries.list_loads(instance),
             crashes=self.entries.list_crashes(instance),
@@ -406,7 +408,7 @@
             lambda seconds: self._propose(data, seconds),
             "no majority confirmed it in time",
         )
-        return OUTCOMES.decode(reply)
+        return OUTCOME_DECODER.decode(reply)
 
     def _insist(self, act: Callable[[float], Result], failure: str) -> Result:
         """Try until an action succeeds or the operator waits no more.
@@ -465,7 +467,7 @@
 
     def _take_applied(self) -> None:
         state = self._machine.state
-        self.directory.take_departures(state.departures)
+        self.directory.apply_departures(state.departures)
         if state.number != self._applied_number:
             self._applied_number = state.number
             log_event(
--- a/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
@@ -5,21 +5,21 @@
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.endpoints import EndpointDirectory
-from bergamotwood_core.gateway.machine import (
-    GatewayMachine,
-    RolloutOutcome,
-    ServiceRollout,
-    SettleRollout,
-)
 from bergamotwood_core.gateway.rollout import (
-    CAPACITY_PART,
+    MIN_CAPACITY_FRACTION,
+    RegressionDetector,
     RolloutView,
-    RolloutWatch,
     VersionEvidence,
     choose_outcome,
     choose_share,
     merge_evidence,
 )
+from bergamotwood_core.gateway.state_machine import (
+    GatewayStateMachine,
+    RolloutOutcome,
+    ServiceRollout,
+    SettleRollout,
+)
 from bergamotwood_core.ids import LogIndex
 from bergamotwood_daemon.gateway.entries import EntryTable
 from bergamotwood_daemon.log import log_event
@@ -34,7 +34,7 @@
 
     Parameters
     ----------
-    machine : GatewayMachine
+    machine : GatewayStateMachine
         Holds the roll-outs.
     directory : EndpointDirectory
         Endpoints of each version.
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        machine: GatewayMachine,
+        machine: GatewayStateMachine,
         directory: EndpointDirectory,
         entries: EntryTable,
         clock: Callable[[], Seconds],
@@ -55,7 +55,7 @@
         self._directory = directory
         self._entries = entries
         self._clock = clock
-        self._watches: dict[LogIndex, RolloutWatch] = {}
+        self._watches: dict[LogIndex, RegressionDetector] = {}
         self._views: tuple[RolloutView, ...] = ()
         self._viewed_at = Seconds(float("-inf"))
 
@@ -85,9 +85,9 @@
         return verdicts
 
     def _judge(self, rollout: ServiceRollout) -> RolloutOutcome:
-        watch = self._watches.setdefault(rollout.index, RolloutWatch())
+        watch = self._watches.setdefault(rollout.index, RegressionDetector())
         evidence = self._merge_evidence()
-        harm = watch.find_harm(rollout, evidence, self._clock())
+        harm = watch.find_regressed_route(rollout, evidence, self._clock())
         view = self._describe(rollout, evidence)
         outstanding = self._count_outstanding_before(rollout)
         verdict = choose_outcome(
@@ -130,16 +130,16 @@
     def _has_capacity(self, rollout: ServiceRollout) -> bool:
         versions = [
             beat.version
-            for beat in self._directory.list_beats()
+            for beat in self._directory.list_heartbeats()
             if beat.service == rollout.service
         ]
         new = versions.count(rollout.target)
-        return new > 0 and new >= CAPACITY_PART * (len(versions) - new)
+        return new > 0 and new >= MIN_CAPACITY_FRACTION * (len(versions) - new)
 
     def _count_outstanding_before(self, rollout: ServiceRollout) -> int:
         before = {
             beat.endpoint
-            for beat in self._directory.list_beats()
+            for beat in self._directory.list_heartbeats()
             if beat.service == rollout.service and beat.version != rollout.target
         }
         return sum(
--- a/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
@@ -4,7 +4,7 @@
 
 from bergamotwood_core.gateway.call import Call
 from bergamotwood_core.gateway.events import EventSplitter, StreamEvent
-from bergamotwood_core.gateway.health import Result
+from bergamotwood_core.gateway.health import AttemptResult
 from bergamotwood_daemon.gateway.attempt import (
     Answered,
     Attempt,
@@ -63,11 +63,11 @@
                     break
                 self._send(splitter.feed(bytes(event.data)), head)
         except BrokenError as error:
-            return Unclear(str(error), Result.BROKEN)
+            return Unclear(str(error), AttemptResult.BROKEN)
         except SilentError as error:
-            return Unclear(str(error), Result.SILENT)
-        if splitter.has_rest:
-            return Unclear("ended within an event", Result.BROKEN)
+            return Unclear(str(error), AttemptResult.SILENT)
+        if splitter.has_partial_event:
+            return Unclear("ended within an event", AttemptResult.BROKEN)
         self._begin(head)
         attempt.keep_connection()
         self._exchange.end_stream()
@@ -76,7 +76,7 @@
     def _collect_failure(self, attempt: Attempt, head: h11.Response) -> Outcome:
         outcome = attempt.collect(head, self._measure_patience)
         if self.has_begun and isinstance(outcome, Answered):
-            return Unclear(outcome.reason, Result.ERROR)
+            return Unclear(outcome.reason, AttemptResult.ERROR)
         return outcome
 
     def _send(self, events: list[StreamEvent], head: h11.Response) -> None:
--- a/tests/core/gateway/samples.py
+++ b/tests/core/gateway/samples.py
@@ -1,16 +1,16 @@
 """Small sound objects that tests of the gateway change as they need."""
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.call import Call, CallTerms
+from bergamotwood_core.gateway.call import Call, RequestMetadata
 from bergamotwood_core.gateway.configuration import (
     Destination,
     GatewayConfiguration,
     GatewayService,
-    KeyHolder,
+    GatewayWorkspace,
     RouteKind,
     ServiceRoute,
 )
-from bergamotwood_core.gateway.endpoints import EndpointBeat
+from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
 from bergamotwood_core.ids import (
     DataCentre,
     EndpointId,
@@ -44,7 +44,7 @@
         "number": 3,
         "routes": (make_route(),),
         "services": (GatewayService(PLAIN), GatewayService(MODELS)),
-        "holders": (KeyHolder(WorkspaceId("circle"), ("key-1", "key-2"), 1),),
+        "holders": (GatewayWorkspace(WorkspaceId("circle"), ("key-1", "key-2"), 1),),
     }
     return GatewayConfiguration(**{**values, **changes})
 
@@ -52,7 +52,7 @@
 def make_call(route=None, **changes):
     route = route or make_route()
     values = {
-        "terms": CallTerms(RequestId("q-1"), patience_seconds=3.0, key="key-1"),
+        "terms": RequestMetadata(RequestId("q-1"), patience_seconds=3.0, key="key-1"),
         "route": route,
         "holder": None,
         "service": route.destinations[0].service,
@@ -63,7 +63,7 @@
     return Call(**{**values, **changes})
 
 
-def make_beat(endpoint="e-1", **changes):
+def make_heartbeat(endpoint="e-1", **changes):
     values = {
         "endpoint": EndpointId(endpoint),
         "incarnation": Incarnation(1),
@@ -74,4 +74,4 @@
         "version": "v1",
         "slots": 6,
     }
-    return EndpointBeat(**{**values, **changes})
+    return EndpointHeartbeat(**{**values, **changes})
--- a/tests/core/gateway/test_configuration.py
+++ b/tests/core/gateway/test_configuration.py
@@ -4,15 +4,15 @@
 
 from bergamotwood_core.gateway.configuration import (
     Destination,
-    KeyHolder,
+    GatewayWorkspace,
     RouteKind,
-    find_faults,
+    find_configuration_errors,
 )
 from bergamotwood_core.ids import ServiceName, WorkspaceId
 
 
 def test_a_sound_configuration_has_no_faults():
-    assert find_faults(make_configuration()) == ()
+    assert find_configuration_errors(make_configuration()) == ()
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
 )
 def test_each_fault_of_a_route_is_named(change, fault):
     route = replace(make_route(), **change)
-    faults = find_faults(make_configuration(routes=(route,)))
+    faults = find_configuration_errors(make_configuration(routes=(route,)))
     assert len(faults) == 1
     assert fault in faults[0]
     assert route.name in faults[0]
@@ -40,19 +40,22 @@
 
 def test_two_routes_at_one_place_are_a_fault():
     routes = (make_route(name="a"), make_route(name="b"))
-    assert "2 routes" in find_faults(make_configuration(routes=routes))[0]
+    assert "2 routes" in find_configuration_errors(make_configuration(routes=routes))[0]
 
 
 def test_a_key_of_two_workspaces_is_a_fault():
     holders = (
-        KeyHolder(WorkspaceId("a"), ("k",)),
-        KeyHolder(WorkspaceId("b"), ("k",)),
+        GatewayWorkspace(WorkspaceId("a"), ("k",)),
+        GatewayWorkspace(WorkspaceId("b"), ("k",)),
+    )
+    assert (
+        "share a key"
+        in find_configuration_errors(make_configuration(holders=holders))[0]
     )
-    assert "share a key" in find_faults(make_configuration(holders=holders))[0]
 
 
 def test_only_repeatable_kinds_are_repeatable():
-    assert make_route(kind=RouteKind.IDEMPOTENT).is_repeatable
-    assert not make_route(kind=RouteKind.NON_IDEMPOTENT).is_repeatable
-    assert not make_route(kind=RouteKind.STREAMING).is_repeatable
-    assert make_route(kind=RouteKind.STREAMING, resumable=True).is_repeatable
+    assert make_route(kind=RouteKind.IDEMPOTENT).is_retryable
+    assert not make_route(kind=RouteKind.NON_IDEMPOTENT).is_retryable
+    assert not make_route(kind=RouteKind.STREAMING).is_retryable
+    assert make_route(kind=RouteKind.STREAMING, resumable=True).is_retryable
--- a/tests/core/gateway/test_events.py
+++ b/tests/core/gateway/test_events.py
@@ -15,10 +15,10 @@
         events += splitter.feed(TEXT[at : at + size])
     assert [event.id for event in events] == ["1", "2", None, "3"]
     assert b"".join(event.data for event in events) + b"id: 4\nda" == TEXT
-    assert splitter.has_rest
+    assert splitter.has_partial_event
 
 
 def test_nothing_is_left_after_a_whole_event():
     splitter = EventSplitter()
     assert len(splitter.feed(b"data: x\n\n")) == 1
-    assert not splitter.has_rest
+    assert not splitter.has_partial_event
--- a/tests/core/gateway/test_pace.py
+++ b/tests/core/gateway/test_latency.py
@@ -1,4 +1,4 @@
-from bergamotwood_core.gateway.pace import PaceTable, Timing
+from bergamotwood_core.gateway.latency import LatencyTable, Timing
 from bergamotwood_core.ids import ModelName
 
 SMALL = ModelName("small")
@@ -6,9 +6,9 @@
 
 
 def make_table(timing=USUAL, samples=10):
-    table = PaceTable()
+    table = LatencyTable()
     for _ in range(samples):
-        table.note("r", SMALL, timing)
+        table.record("r", SMALL, timing)
     return table
 
 
@@ -31,10 +31,10 @@
 
 
 def test_a_stream_is_estimated_from_its_expected_tokens():
-    table = PaceTable()
+    table = LatencyTable()
     assert table.estimate("r", SMALL, 300) is None
     for factor in (0.5, 1.0, 2.0, 1.0, 0.5, 2.0):
-        table.note("r", SMALL, USUAL, int(30 * factor))
+        table.record("r", SMALL, USUAL, int(30 * factor))
     assert abs(table.estimate("r", SMALL, 300) - 10.5) < 0.5
 
 
--- a/tests/core/gateway/test_load.py
+++ b/tests/core/gateway/test_load.py
@@ -14,25 +14,25 @@
 
 def test_a_prompt_counts_until_its_answer_begins_and_a_request_until_it_ends():
     loads = LoadTable()
-    loads.start(E1, Q1, 0.5)
-    loads.start(E1, Q2, 0.25)
+    loads.add_request(E1, Q1, 0.5)
+    loads.add_request(E1, Q2, 0.25)
     assert loads.find(E1) == EndpointLoad(2, 0.75)
-    loads.begin(E1, Q1)
-    assert loads.describe() == {E1: EndpointLoad(2, 0.25)}
-    loads.end(E1, Q1)
-    loads.end(E1, Q2)
-    loads.end(E1, Q2)
+    loads.mark_prefilled(E1, Q1)
+    assert loads.list_own() == {E1: EndpointLoad(2, 0.25)}
+    loads.remove_request(E1, Q1)
+    loads.remove_request(E1, Q2)
+    loads.remove_request(E1, Q2)
     assert loads.find(E1) == NO_LOAD
-    assert loads.count() == 0
+    assert loads.count_requests() == 0
 
 
 def test_the_loads_of_others_are_added_and_replaced():
     loads = LoadTable()
-    loads.start(E1, Q1, 0.5)
-    loads.report({E1: EndpointLoad(3, 0.25), E2: EndpointLoad(1, 0.0)})
+    loads.add_request(E1, Q1, 0.5)
+    loads.set_others({E1: EndpointLoad(3, 0.25), E2: EndpointLoad(1, 0.0)})
     assert loads.find(E1) == EndpointLoad(4, 0.75)
     assert loads.find(E2) == EndpointLoad(1, 0.0)
-    loads.report({})
+    loads.set_others({})
     assert loads.find(E1) == EndpointLoad(1, 0.5)
 
 
@@ -42,12 +42,12 @@
     other = {E1: EndpointLoad(2, 0.2), E2: EndpointLoad(1, 0.0)}
     total.add(one)
     total.add(other)
-    assert total.list_beside({}) == {
+    assert total.list_without({}) == {
         E1: EndpointLoad(3, 0.325),
         E2: EndpointLoad(1, 0.0),
     }
-    assert total.list_beside(one) == other
-    assert total.list_beside(other) == one
+    assert total.list_without(one) == other
+    assert total.list_without(other) == one
 
 
 def test_a_sum_keeps_nothing_of_reports_that_were_taken_away():
@@ -62,4 +62,4 @@
     rng.shuffle(reports)
     for report in reports:
         total.subtract(report)
-    assert total.list_beside({}) == {}
+    assert total.list_without({}) == {}
--- a/tests/core/gateway/test_models.py
+++ b/tests/core/gateway/test_models.py
@@ -1,11 +1,11 @@
 from random import Random
 
+from bergamotwood_core.gateway.latency import LatencyTable, Timing
 from bergamotwood_core.gateway.models import (
+    can_finish_in_time,
     choose_first_model,
     choose_next_model,
-    fits,
 )
-from bergamotwood_core.gateway.pace import PaceTable, Timing
 
 MODELS = ("s", "m", "l")
 HELD = set(MODELS)
@@ -41,9 +41,9 @@
 
 
 def test_an_unknown_time_allows_a_try():
-    assert fits(None, 1.0)
-    assert fits(9.9, 10.0)
-    assert not fits(10.1, 10.0)
+    assert can_finish_in_time(None, 1.0)
+    assert can_finish_in_time(9.9, 10.0)
+    assert not can_finish_in_time(10.1, 10.0)
 
 
 def play_long_answers(choose, rng, callers=400):
@@ -52,7 +52,7 @@
     The large model makes an event in 0.2 s and callers wait for 20 s; their
     estimates of the answer's length are off by half as a rule.
     """
-    pace = PaceTable()
+    pace = LatencyTable()
     served = 0
     wasted = 0.0
     for _ in range(callers):
@@ -67,14 +67,14 @@
             wasted += 20.0
             continue
         served += 1
-        pace.note("r", "l", Timing(0.5, seconds, events), expected)
+        pace.record("r", "l", Timing(0.5, seconds, events), expected)
     return served, wasted
 
 
 def test_long_answers_are_served_by_a_model_that_ends_in_time():
     before, wasted_before = play_long_answers(lambda seconds: True, Random(5))
     after, wasted_after = play_long_answers(
-        lambda seconds: fits(seconds, 20.0), Random(5)
+        lambda seconds: can_finish_in_time(seconds, 20.0), Random(5)
     )
     assert after > before
     assert wasted_after < 0.4 * wasted_before
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -1,15 +1,15 @@
 from collections import Counter, OrderedDict
 from random import Random
 
-from core.gateway.samples import MODELS, make_beat, make_call, make_route
+from core.gateway.samples import MODELS, make_call, make_heartbeat, make_route
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.call import CallTerms, PromptPart
+from bergamotwood_core.gateway.call import PromptPart, RequestMetadata
 from bergamotwood_core.gateway.configuration import Destination
-from bergamotwood_core.gateway.health import HealthTable, Result
+from bergamotwood_core.gateway.health import AttemptResult, HealthTable
 from bergamotwood_core.gateway.load import NO_LOAD, EndpointLoad
 from bergamotwood_core.gateway.placement import Placement
-from bergamotwood_core.gateway.work import FIRST_SECONDS
+from bergamotwood_core.gateway.prefill import INITIAL_SECONDS_PER_TOKEN
 from bergamotwood_core.ids import DataCentre, ModelName, RequestId
 
 NOW = Seconds(0.0)
@@ -28,46 +28,49 @@
 
 def choose(beats, call, health=None, loads=None, seed=1):
     chosen = make_placement(health, loads, seed).choose(beats, call, NOW)
-    return chosen.beat.endpoint if chosen else None
+    return chosen.heartbeat.endpoint if chosen else None
 
 
 def test_only_endpoints_of_the_service_that_are_usable_are_candidates():
     health = HealthTable()
-    beats = [make_beat(name) for name in ("replaced", "paused", "tried", "good")]
-    health.note("replaced", 1, Result.REPLACED, 0.0, NOW)
-    health.note("paused", 1, Result.UNREACHABLE, 0.0, NOW)
-    beats.append(make_beat("other", service=MODELS))
+    beats = [make_heartbeat(name) for name in ("replaced", "paused", "tried", "good")]
+    health.record_result("replaced", 1, AttemptResult.REPLACED, 0.0, NOW)
+    health.record_result("paused", 1, AttemptResult.UNREACHABLE, 0.0, NOW)
+    beats.append(make_heartbeat("other", service=MODELS))
     call = make_call(tried=["tried"])
     assert {choose(beats, call, health, seed=s) for s in range(20)} == {"good"}
     assert choose([], call) is None
 
 
 def test_an_endpoint_without_the_model_is_no_candidate():
-    beats = [make_beat("a", models=(ModelName("s"),)), make_beat("b", models=("l",))]
+    beats = [
+        make_heartbeat("a", models=(ModelName("s"),)),
+        make_heartbeat("b", models=("l",)),
+    ]
     call = make_call(model=ModelName("l"))
     assert {choose(beats, call, seed=s) for s in range(20)} == {"b"}
 
 
 def test_load_goes_to_the_least_loaded_and_stays_near():
-    beats = [make_beat("far", data_centre=DataCentre("x")), make_beat("near")]
+    beats = [make_heartbeat("far", data_centre=DataCentre("x")), make_heartbeat("near")]
     assert choose(beats, make_call()) == "near"
     assert choose(beats, make_call(), loads={"near": EndpointLoad(6)}) == "far"
 
 
 def test_a_slow_endpoint_gets_few_plain_requests():
     health = HealthTable()
-    beats = [make_beat("slow"), make_beat("quick")]
-    health.note("slow", 1, Result.OK, 0.7, NOW)
-    health.note("quick", 1, Result.OK, 0.09, NOW)
+    beats = [make_heartbeat("slow"), make_heartbeat("quick")]
+    health.record_result("slow", 1, AttemptResult.OK, 0.7, NOW)
+    health.record_result("quick", 1, AttemptResult.OK, 0.09, NOW)
     chosen = {choose(beats, make_call(), health, seed=s) for s in range(50)}
     assert chosen == {"quick"}
 
 
 def test_a_failing_endpoint_gets_only_few_requests():
     health = HealthTable()
-    beats = [make_beat("bad"), make_beat("good")]
+    beats = [make_heartbeat("bad"), make_heartbeat("good")]
     for _ in range(8):
-        health.note("bad", 1, Result.BROKEN, 0.0, NOW)
+        health.record_result("bad", 1, AttemptResult.BROKEN, 0.0, NOW)
     counts = Counter(choose(beats, make_call(), health, seed=s) for s in range(400))
     assert 0 < counts["bad"] < 20
 
@@ -75,12 +78,12 @@
 def make_prompt_call(subject, model="large"):
     route = make_route(destinations=(Destination(MODELS),))
     parts = (PromptPart(subject, 13_000), PromptPart("own", 3_000))
-    terms = CallTerms(RequestId("q"), prompt_tokens=16_000, prompt=parts)
+    terms = RequestMetadata(RequestId("q"), prompt_tokens=16_000, prompt=parts)
     return make_call(route, terms=terms, model=ModelName(model))
 
 
 def make_engines():
-    return [make_beat(f"e{at}", service=MODELS, slots=64) for at in range(9)]
+    return [make_heartbeat(f"e{at}", service=MODELS, slots=64) for at in range(9)]
 
 
 def test_all_entries_send_a_subject_to_one_engine_until_it_is_loaded():
@@ -102,9 +105,9 @@
     beats = make_engines()
     placement = make_placement()
     first = placement.choose(beats, make_prompt_call("a"), NOW)
-    placement.note_sent(first, make_prompt_call("a"))
+    placement.record_send(first, make_prompt_call("a"))
     again = placement.choose(beats, make_prompt_call("a"), NOW)
-    assert again.beat.endpoint == first.beat.endpoint
+    assert again.heartbeat.endpoint == first.heartbeat.endpoint
     assert again.uncached_tokens == 3_000
     other = placement.choose(beats, make_prompt_call("a", "small"), NOW)
     assert other.is_guess
@@ -114,9 +117,9 @@
 def make_own_call(seconds):
     """Make a call whose prompt shares nothing and takes some time to read."""
     route = make_route(destinations=(Destination(MODELS),))
-    tokens = int(seconds / FIRST_SECONDS)
+    tokens = int(seconds / INITIAL_SECONDS_PER_TOKEN)
     parts = (PromptPart("own", tokens),)
-    terms = CallTerms(RequestId("q"), prompt_tokens=tokens, prompt=parts)
+    terms = RequestMetadata(RequestId("q"), prompt_tokens=tokens, prompt=parts)
     return make_call(route, terms=terms, model=ModelName("large"))
 
 
@@ -179,7 +182,7 @@
         if len(cached[chosen]) > kept:
             cached[chosen].popitem(last=False)
         misses += not is_cached
-        seconds = FIRST_SECONDS * (3_000 if is_cached else 16_000)
+        seconds = INITIAL_SECONDS_PER_TOKEN * (3_000 if is_cached else 16_000)
         times.append(backlog[chosen] + seconds)
         free_at[chosen] = now + times[-1]
     return sorted(times), misses
@@ -204,11 +207,13 @@
 
 def test_a_dark_endpoint_is_avoided_but_not_one_that_is_only_cut_off():
     health = HealthTable()
-    beats = [make_beat("dark"), make_beat("cut")]
+    beats = [make_heartbeat("dark"), make_heartbeat("cut")]
     placement = make_placement(health)
     placement.silent = frozenset(("dark", "cut"))
     now = Seconds(50.0)
-    health.note_heard("cut", 1, Seconds(49.5))
-    chosen = {placement.choose(beats, make_call(), now).beat.endpoint for _ in range(9)}
+    health.record_traffic("cut", 1, Seconds(49.5))
+    chosen = {
+        placement.choose(beats, make_call(), now).heartbeat.endpoint for _ in range(9)
+    }
     assert chosen == {"cut"}
-    assert placement.choose(beats[:1], make_call(), now).beat.endpoint == "dark"
+    assert placement.choose(beats[:1], make_call(), now).heartbeat.endpoint == "dark"
--- a/tests/core/gateway/test_work.py
+++ b/tests/core/gateway/test_prefill.py
@@ -1,5 +1,9 @@
 from bergamotwood_core.gateway.call import PromptPart
-from bergamotwood_core.gateway.work import FIRST_SECONDS, PromptMemory, ReadingPace
+from bergamotwood_core.gateway.prefill import (
+    INITIAL_SECONDS_PER_TOKEN,
+    PrefillRate,
+    PrefixCacheIndex,
+)
 from bergamotwood_core.ids import EndpointId, Incarnation, ModelName
 
 E1, FIRST, SMALL = EndpointId("e-1"), Incarnation(1), ModelName("small")
@@ -7,18 +11,18 @@
 
 
 def test_the_pace_is_that_of_prompts_that_did_not_wait():
-    pace = ReadingPace()
-    assert pace.estimate(SMALL, 1000) == 1000 * FIRST_SECONDS
+    pace = PrefillRate()
+    assert pace.estimate(SMALL, 1000) == 1000 * INITIAL_SECONDS_PER_TOKEN
     for waited in (0.0, 0.0, 3.0, 9.0, 1.0, 0.0, 5.0, 0.2):
-        pace.note(SMALL, 1000, 0.1 + waited)
+        pace.record(SMALL, 1000, 0.1 + waited)
     assert abs(pace.estimate(SMALL, 2000) - 0.2) < 0.01
-    pace.note(SMALL, 10, 5.0)
+    pace.record(SMALL, 10, 5.0)
     assert pace.estimate(SMALL, 2000) < 0.3
 
 
 def test_a_part_is_cached_only_with_all_parts_before_it():
-    memory = PromptMemory()
-    memory.note(E1, FIRST, SMALL, PROMPT)
+    memory = PrefixCacheIndex()
+    memory.record(E1, FIRST, SMALL, PROMPT)
     assert memory.count_cached(E1, FIRST, SMALL, PROMPT) == 150
     assert memory.count_cached(E1, FIRST, SMALL, PROMPT[::-1]) == 150
     other = (PromptPart("x", 10), *PROMPT)
--- a/tests/core/gateway/test_retries.py
+++ b/tests/core/gateway/test_retries.py
@@ -2,7 +2,7 @@
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.configuration import RouteKind
-from bergamotwood_core.gateway.retries import RetryBudget, may_send_again
+from bergamotwood_core.gateway.retries import RetryBudget, may_retry
 from bergamotwood_core.ids import EndpointId
 
 NOW = Seconds(0.0)
@@ -11,23 +11,23 @@
 def test_a_request_that_may_have_run_is_repeated_only_if_it_may_be():
     once = make_call(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=3), runs=1)
     often = make_call(make_route(max_attempts=3), runs=1)
-    assert not may_send_again(once, has_run=True, now=NOW)
-    assert may_send_again(often, has_run=True, now=NOW)
+    assert not may_retry(once, has_run=True, now=NOW)
+    assert may_retry(often, has_run=True, now=NOW)
 
 
 def test_a_refusal_that_ran_nothing_is_repeated_for_every_kind():
     call = make_call(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=1))
     call.tried = [EndpointId("e-1")]
-    assert may_send_again(call, has_run=False, now=NOW)
+    assert may_retry(call, has_run=False, now=NOW)
     call.tried = [EndpointId(f"e-{at}") for at in range(3)]
-    assert not may_send_again(call, has_run=False, now=NOW)
+    assert not may_retry(call, has_run=False, now=NOW)
 
 
 def test_attempts_and_time_bound_the_repeats():
     call = make_call(make_route(max_attempts=2), runs=2)
-    assert not may_send_again(call, has_run=True, now=NOW)
+    assert not may_retry(call, has_run=True, now=NOW)
     late = make_call(make_route(max_attempts=2), runs=1)
-    assert not may_send_again(late, has_run=True, now=Seconds(2.99))
+    assert not may_retry(late, has_run=True, now=Seconds(2.99))
 
 
 def test_all_entries_together_keep_the_fleets_budget_in_every_window():
@@ -36,13 +36,13 @@
     for step in range(600):
         now = Seconds(step * 0.1)
         for entry in entries:
-            entry.entries = len(entries)
+            entry.instance_count = len(entries)
             if 200 <= step < 300:
-                entry.note_request(PLAIN, now)
+                entry.record_request(PLAIN, now)
                 requests.append(now)
             for _ in range(3):
                 if entry.allows(PLAIN, now):
-                    entry.note_repeat(PLAIN, now)
+                    entry.record_retry(PLAIN, now)
                     repeats.append(now)
     for start in range(0, 50):
         inside = [at for at in repeats if start <= at < start + 10.0]
--- a/tests/core/gateway/test_rollout.py
+++ b/tests/core/gateway/test_rollout.py
@@ -3,26 +3,26 @@
 import pytest
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.machine import RolloutOutcome, ServiceRollout
 from bergamotwood_core.gateway.rollout import (
-    EVIDENCE_TRIALS,
     FIRST_SHARE,
+    MIN_EVIDENCE_TRIALS,
+    RegressionDetector,
     RolloutView,
-    RolloutWatch,
-    SessionMemory,
+    SessionVersions,
     VersionEvidence,
     choose_outcome,
     choose_share,
     is_on_target,
     merge_evidence,
 )
+from bergamotwood_core.gateway.state_machine import RolloutOutcome, ServiceRollout
 from bergamotwood_core.ids import LogIndex, ServiceName, SessionId
 
 SERVICE = ServiceName("models")
 ROLLOUT = ServiceRollout(
     SERVICE, "v2", 20.0, RolloutOutcome.IN_PROGRESS, LogIndex(4), 0.0
 )
-ENOUGH = [VersionEvidence(SERVICE, "v2", "r", EVIDENCE_TRIALS, 0)]
+ENOUGH = [VersionEvidence(SERVICE, "v2", "r", MIN_EVIDENCE_TRIALS, 0)]
 
 
 def view(elapsed, share):
@@ -62,10 +62,10 @@
 
 
 def test_entries_tell_each_other_which_sessions_are_open():
-    memory = SessionMemory(5.0)
+    memory = SessionVersions(5.0)
     for at in range(200):
-        memory.note(SERVICE, SessionId(f"s{at}"), "v1", Seconds(10.0))
-    memory.note(SERVICE, SessionId("s0"), "v2", Seconds(10.0))
+        memory.record(SERVICE, SessionId(f"s{at}"), "v1", Seconds(10.0))
+    memory.record(SERVICE, SessionId("s0"), "v2", Seconds(10.0))
     told = memory.list_open(ROLLOUT, Seconds(11.0))
     assert 5 < len(told) < 35
     assert "s0" not in told
@@ -83,7 +83,7 @@
         Chance of a bad answer of the new version at a time.
     """
     rng = Random(seed)
-    watch = RolloutWatch()
+    watch = RegressionDetector()
     rollout = ServiceRollout(
         SERVICE, "v2", seconds, RolloutOutcome.IN_PROGRESS, LogIndex(4), 0.0
     )
@@ -93,7 +93,7 @@
     while elapsed < seconds:
         elapsed += 0.25
         evidence = [VersionEvidence(SERVICE, v, "r", *c) for v, c in counts.items()]
-        harm = watch.find_harm(rollout, evidence, Seconds(elapsed))
+        harm = watch.find_regressed_route(rollout, evidence, Seconds(elapsed))
         share = choose_share(rollout, elapsed, evidence, True)
         outcome = choose_outcome(rollout, elapsed, harm, share, 0)
         if outcome is not RolloutOutcome.IN_PROGRESS:
--- a/tests/core/gateway/test_routing.py
+++ b/tests/core/gateway/test_routing.py
@@ -28,9 +28,9 @@
 
 def test_keys_name_their_workspace():
     table = RoutingTable(make_configuration())
-    assert table.find_holder("key-2").workspace == "circle"
-    assert table.find_holder("key-3") is None
-    assert table.find_holder("") is None
+    assert table.find_workspace("key-2").workspace == "circle"
+    assert table.find_workspace("key-3") is None
+    assert table.find_workspace("") is None
 
 
 def test_destinations_get_their_weights_and_keep_their_subjects():
--- a/tests/core/gateway/test_machine.py
+++ b/tests/core/gateway/test_state_machine.py
@@ -1,15 +1,15 @@
-from bergamotwood_core.gateway.machine import (
+from bergamotwood_core.gateway.state_machine import (
     MAX_DEPARTURES,
-    OUTCOMES,
+    OUTCOME_DECODER,
     BeginRollout,
-    GatewayMachine,
+    GatewayStateMachine,
     RecordDeparture,
     ReplaceConfiguration,
     RolloutOutcome,
     SettleRollout,
+    compress_document,
+    decompress_document,
     encode_command,
-    pack_document,
-    unpack_document,
 )
 from bergamotwood_core.ids import EndpointId, Incarnation, LogIndex, ServiceName
 from bergamotwood_core.states import EndpointState
@@ -18,7 +18,9 @@
 
 
 def apply(machine, command, index=1):
-    return OUTCOMES.decode(machine.apply(LogIndex(index), encode_command(command)))
+    return OUTCOME_DECODER.decode(
+        machine.apply(LogIndex(index), encode_command(command))
+    )
 
 
 def begin(target="v2"):
@@ -26,7 +28,7 @@
 
 
 def test_the_highest_number_holds_and_gaps_are_allowed():
-    machine = GatewayMachine()
+    machine = GatewayStateMachine()
     assert apply(machine, ReplaceConfiguration(7, b"seven")).changed
     older = apply(machine, ReplaceConfiguration(4, b"four"))
     assert older.accepted
@@ -36,14 +38,14 @@
 
 
 def test_other_content_under_the_number_held_changes_nothing():
-    machine = GatewayMachine()
+    machine = GatewayStateMachine()
     apply(machine, ReplaceConfiguration(7, b"seven"))
     assert not apply(machine, ReplaceConfiguration(7, b"other")).changed
     assert machine.state.document == b"seven"
 
 
 def test_an_ordered_rollout_is_accepted_again():
-    machine = GatewayMachine()
+    machine = GatewayStateMachine()
     assert apply(machine, begin(), 3).changed
     again = apply(machine, begin(), 4)
     assert again.accepted
@@ -52,7 +54,7 @@
 
 
 def test_two_rollouts_of_a_service_do_not_overlap():
-    machine = GatewayMachine()
+    machine = GatewayStateMachine()
     apply(machine, begin())
     assert not apply(machine, begin("v3")).accepted
     apply(machine, SettleRollout(SERVICE, "v2", RolloutOutcome.ROLLED_BACK))
@@ -60,7 +62,7 @@
 
 
 def test_a_settled_rollout_keeps_its_first_verdict():
-    machine = GatewayMachine()
+    machine = GatewayStateMachine()
     apply(machine, begin())
     apply(machine, SettleRollout(SERVICE, "v2", RolloutOutcome.COMPLETED))
     late = apply(machine, SettleRollout(SERVICE, "v2", RolloutOutcome.ROLLED_BACK))
@@ -69,7 +71,7 @@
 
 
 def test_departures_are_kept_once_and_bounded():
-    machine = GatewayMachine()
+    machine = GatewayStateMachine()
     for at in range(MAX_DEPARTURES + 5):
         command = RecordDeparture(
             EndpointId(f"e{at}"), Incarnation(1), EndpointState.LEAVING
@@ -81,10 +83,10 @@
 
 
 def test_a_restored_snapshot_is_the_same_state():
-    machine = GatewayMachine()
-    apply(machine, ReplaceConfiguration(7, pack_document(b"seven")))
+    machine = GatewayStateMachine()
+    apply(machine, ReplaceConfiguration(7, compress_document(b"seven")))
     apply(machine, begin())
-    other = GatewayMachine()
+    other = GatewayStateMachine()
     other.restore(machine.snapshot())
     assert other.state == machine.state
-    assert unpack_document(other.state.document) == b"seven"
+    assert decompress_document(other.state.document) == b"seven"
--- a/tests/core/gateway/test_suspects.py
+++ b/tests/core/gateway/test_suspects.py
@@ -1,39 +1,41 @@
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.suspects import MEMORY_SECONDS, SuspectTable
+from bergamotwood_core.gateway.suspects import CRASH_RETENTION_SECONDS, SuspectTable
 from bergamotwood_core.ids import EndpointId, Fingerprint, Incarnation
 
 BAD = Fingerprint("bad")
 
 
 def crash(table, endpoint, now, incarnation=1):
-    table.note_crash(BAD, EndpointId(endpoint), Incarnation(incarnation), Seconds(now))
+    table.record_crash(
+        BAD, EndpointId(endpoint), Incarnation(incarnation), Seconds(now)
+    )
 
 
 def test_a_request_is_suspended_after_three_crashes_for_a_while():
     table = SuspectTable()
     crash(table, "a", 1.0)
     crash(table, "b", 2.0)
-    assert table.measure_suspension(BAD, Seconds(2.0)) == 0.0
+    assert table.compute_suspension(BAD, Seconds(2.0)) == 0.0
     crash(table, "a", 3.0, incarnation=2)
-    assert table.measure_suspension(BAD, Seconds(4.0)) == MEMORY_SECONDS - 1.0
-    assert table.measure_suspension(Fingerprint("other"), Seconds(4.0)) == 0.0
-    assert table.measure_suspension(BAD, Seconds(3.1 + MEMORY_SECONDS)) == 0.0
+    assert table.compute_suspension(BAD, Seconds(4.0)) == CRASH_RETENTION_SECONDS - 1.0
+    assert table.compute_suspension(Fingerprint("other"), Seconds(4.0)) == 0.0
+    assert table.compute_suspension(BAD, Seconds(3.1 + CRASH_RETENTION_SECONDS)) == 0.0
 
 
 def test_one_endpoint_that_breaks_off_often_suspends_nothing():
     table = SuspectTable()
     for at in range(10):
         crash(table, "a", at)
-    assert table.measure_suspension(BAD, Seconds(10.0)) == 0.0
+    assert table.compute_suspension(BAD, Seconds(10.0)) == 0.0
 
 
 def report_all(tables, now):
     """Let each entry take in what all others report."""
-    crashes = [table.list_own(Seconds(now)) for table in tables]
+    crashes = [table.list_own_crashes(Seconds(now)) for table in tables]
     successes = [table.list_successes(Seconds(now)) for table in tables]
     for at, table in enumerate(tables):
         others = [*range(at), *range(at + 1, len(tables))]
-        table.take_reports(
+        table.apply_reports(
             [item for other in others for item in crashes[other]],
             [item for other in others for item in successes[other]],
             Seconds(now),
@@ -46,17 +48,17 @@
     crash(tables[0], "a", 1.0)
     crash(tables[1], "b", 1.5)
     report_all(tables, 2.0)
-    tables[2].note_success(BAD, Seconds(3.0))
+    tables[2].record_success(BAD, Seconds(3.0))
     report_all(tables, 4.0)
     crash(tables[0], "c", 5.0)
-    assert tables[0].measure_suspension(BAD, Seconds(5.0)) == 0.0
+    assert tables[0].compute_suspension(BAD, Seconds(5.0)) == 0.0
     report_all(tables, 6.0)
-    assert tables[1].measure_suspension(BAD, Seconds(6.0)) == 0.0
+    assert tables[1].compute_suspension(BAD, Seconds(6.0)) == 0.0
     # Crashes after the success count.
     crash(tables[1], "d", 7.0)
     crash(tables[1], "e", 7.0)
     report_all(tables, 8.0)
-    assert all(table.measure_suspension(BAD, Seconds(8.0)) > 0.0 for table in tables)
+    assert all(table.compute_suspension(BAD, Seconds(8.0)) > 0.0 for table in tables)
 
 
 def test_entries_find_a_request_together():
@@ -64,20 +66,22 @@
     crash(tables[1], "e1", 10.0)
     crash(tables[2], "e2", 10.0)
     # Each has a clock of its own; a report tells how long ago it was.
-    reports = [item for table in tables[1:] for item in table.list_own(Seconds(11.0))]
-    tables[0].take_reports(reports, (), Seconds(500.0))
-    assert tables[0].measure_suspension(BAD, Seconds(500.0)) == 0.0
+    reports = [
+        item for table in tables[1:] for item in table.list_own_crashes(Seconds(11.0))
+    ]
+    tables[0].apply_reports(reports, (), Seconds(500.0))
+    assert tables[0].compute_suspension(BAD, Seconds(500.0)) == 0.0
     crash(tables[0], "e0", 500.0)
-    assert tables[0].measure_suspension(BAD, Seconds(500.0)) > 0.0
+    assert tables[0].compute_suspension(BAD, Seconds(500.0)) > 0.0
 
 
 def test_a_success_clears_an_innocent_request():
     table = SuspectTable()
     for endpoint in "abc":
         crash(table, endpoint, 1.0)
-    table.note_success(BAD, Seconds(2.0))
-    assert table.measure_suspension(BAD, Seconds(3.0)) == 0.0
-    assert table.list_own(Seconds(3.0)) == ()
+    table.record_success(BAD, Seconds(2.0))
+    assert table.compute_suspension(BAD, Seconds(3.0)) == 0.0
+    assert table.list_own_crashes(Seconds(3.0)) == ()
     for endpoint in "de":
         crash(table, endpoint, 4.0)
-    assert table.measure_suspension(BAD, Seconds(4.0)) == 0.0
+    assert table.compute_suspension(BAD, Seconds(4.0)) == 0.0
--- a/tests/daemon/gateway/desk.py
+++ b/tests/daemon/gateway/desk.py
@@ -4,13 +4,13 @@
 from socket import SHUT_WR
 
 import h11
-from core.gateway.samples import make_beat, make_configuration
+from core.gateway.samples import make_configuration, make_heartbeat
 from gevent.event import Event
 from gevent.server import StreamServer
 from gevent.socket import create_connection
 
-from bergamotwood_core.gateway.call import AnswerTerms, CallTerms
-from bergamotwood_core.gateway.machine import pack_document
+from bergamotwood_core.gateway.call import RequestMetadata, ResponseMetadata
+from bergamotwood_core.gateway.state_machine import compress_document
 from bergamotwood_core.ids import (
     EndpointId,
     Incarnation,
@@ -39,7 +39,7 @@
 
     def read_call(self, headers):
         model = find_field(headers, b"model") or ""
-        return CallTerms(
+        return RequestMetadata(
             request=self.read_id(headers),
             patience_seconds=float(find_field(headers, b"patience") or 3.0),
             key=find_field(headers, b"key") or "",
@@ -68,7 +68,7 @@
 
     def read_answer(self, headers):
         confidence = find_field(headers, b"confidence")
-        return AnswerTerms(
+        return ResponseMetadata(
             request=self.read_id(headers),
             is_signed=find_field(headers, b"signed") is not None,
             is_not_run=find_field(headers, b"not-run") is not None,
@@ -281,7 +281,7 @@
             name: FakeEndpoint(name, act) for name, act in endpoints.items()
         }
         self.beats = [
-            make_beat(
+            make_heartbeat(
                 name,
                 address=endpoint.address,
                 service=self.configuration.routes[0].destinations[0].service,
@@ -306,7 +306,7 @@
             "age_seconds": 0.0,
             "replicas": (),
             "number": self.configuration.number if number is None else number,
-            "document": pack_document(b"sample"),
+            "document": compress_document(b"sample"),
             "rollouts": (),
             "boot": "b",
             "version": 1,
--- a/tests/daemon/gateway/test_belief.py
+++ b/tests/daemon/gateway/test_belief.py
@@ -3,12 +3,12 @@
 from msgspec.structs import replace
 
 from bergamotwood_core.clock import Seconds
-from bergamotwood_core.gateway.machine import (
+from bergamotwood_core.gateway.rollout import RolloutView
+from bergamotwood_core.gateway.state_machine import (
     RolloutOutcome,
     ServiceRollout,
-    pack_document,
+    compress_document,
 )
-from bergamotwood_core.gateway.rollout import RolloutView
 from bergamotwood_core.ids import LogIndex, ServiceName
 from bergamotwood_daemon.gateway.belief import Belief
 from bergamotwood_daemon.gateway.peering import SyncReply
@@ -34,7 +34,7 @@
         age_seconds=0.2,
         replicas=("c:1",),
         number=number,
-        document=pack_document(document) if document else None,
+        document=compress_document(document) if document else None,
         rollouts=(),
         boot="b",
         version=1,
--- a/tests/daemon/gateway/test_explanation.py
+++ b/tests/daemon/gateway/test_explanation.py
@@ -7,7 +7,7 @@
 from msgspec import json
 
 from bergamotctl.command import main
-from bergamotwood_core.gateway.configuration import KeyHolder, RouteKind
+from bergamotwood_core.gateway.configuration import GatewayWorkspace, RouteKind
 from bergamotwood_core.ids import WorkspaceId
 
 
@@ -60,7 +60,7 @@
     desk = make_desk(one=lambda arrival: arrival.answer())
     assert desk.connect().call(id="q-before").status == 200
     desk.configuration = make_configuration(
-        number=9, holders=(KeyHolder(WorkspaceId("circle"), ("key-2",)),)
+        number=9, holders=(GatewayWorkspace(WorkspaceId("circle"), ("key-2",)),)
     )
     desk.entry.dialect.configuration = desk.configuration
     desk.learn()
--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -3,8 +3,8 @@
 from gevent import Timeout, sleep
 from msgspec.structs import replace
 
-from bergamotwood_core.gateway.configuration import KeyHolder, RouteKind
-from bergamotwood_core.gateway.pace import Timing
+from bergamotwood_core.gateway.configuration import GatewayWorkspace, RouteKind
+from bergamotwood_core.gateway.latency import Timing
 from bergamotwood_core.ids import ModelName, WorkspaceId
 
 
@@ -420,7 +420,7 @@
     for _ in range(10):
         # An event of ten tokens each half second.
         timing = Timing(0.5, 5.5, 10)
-        desk.entry.pace.note(route, ModelName("large"), timing, 100)
+        desk.entry.pace.record(route, ModelName("large"), timing, 100)
     long = desk.connect().call(patience="20", model="any", expected="400")
     assert "data: small" in long.body
     assert list_ids(long.body) == ["1", "2", "3"]
@@ -465,7 +465,7 @@
 def test_a_key_is_checked_again_before_a_repeat(make_desk):
     def drop_and_revoke(arrival):
         desk.configuration = make_configuration(
-            number=9, holders=(KeyHolder(WorkspaceId("circle"), ("other",)),)
+            number=9, holders=(GatewayWorkspace(WorkspaceId("circle"), ("other",)),)
         )
         desk.entry.dialect.configuration = desk.configuration
         desk.learn()
--- a/tests/daemon/gateway/test_replica.py
+++ b/tests/daemon/gateway/test_replica.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from core.gateway.samples import PLAIN, make_beat, make_configuration, make_route
+from core.gateway.samples import PLAIN, make_configuration, make_heartbeat, make_route
 from daemon.gateway.desk import PlainDialect
 from gevent import Timeout, sleep
 from msgspec.structs import replace
@@ -14,7 +14,7 @@
     RequestError,
 )
 from bergamotwood_core.gateway.load import EndpointLoad
-from bergamotwood_core.gateway.machine import RolloutOutcome
+from bergamotwood_core.gateway.state_machine import RolloutOutcome
 from bergamotwood_core.ids import EndpointId, Incarnation, InstanceId, Sequence
 from bergamotwood_core.messages import Address
 from bergamotwood_core.states import EndpointState, Run
@@ -186,13 +186,13 @@
     fleet.insist(lambda: fleet.find(leads=True)[1].replace_configuration(b"7"))
     beliefs = [fleet.watch() for _ in range(3)]
     seeds = list(fleet.replicas)
-    fleet.replicas[seeds[0]].take_beat(make_beat())
+    fleet.replicas[seeds[0]].take_beat(make_heartbeat())
     endpoint = EndpointId("e-1")
     fleet.wait_for(lambda: all(endpoint in belief.beats for belief in beliefs))
-    leaving = make_beat(sequence=Sequence(2), state=EndpointState.LEAVING)
+    leaving = make_heartbeat(sequence=Sequence(2), state=EndpointState.LEAVING)
     fleet.insist(lambda: fleet.replicas[seeds[1]].take_beat(leaving))
     fleet.wait_for(lambda: not any(endpoint in belief.beats for belief in beliefs))
-    fleet.replicas[seeds[2]].take_beat(make_beat(sequence=Sequence(3)))
+    fleet.replicas[seeds[2]].take_beat(make_heartbeat(sequence=Sequence(3)))
     sleep(0.3)
     assert not any(endpoint in belief.beats for belief in beliefs)
 
--- a/tests/daemon/gateway/test_rollouts.py
+++ b/tests/daemon/gateway/test_rollouts.py
@@ -5,8 +5,8 @@
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.endpoints import EndpointDirectory
-from bergamotwood_core.gateway.machine import (
-    GatewayMachine,
+from bergamotwood_core.gateway.state_machine import (
+    GatewayStateMachine,
     RolloutOutcome,
     ServiceRollout,
 )
@@ -31,7 +31,7 @@
 
 def make_control():
     now = [Seconds(5.0)]
-    machine = GatewayMachine()
+    machine = GatewayStateMachine()
     machine.state.rollouts[MODELS] = RUNNING
     entries = CountingTable(lambda: now[0])
     directory = EndpointDirectory(30.0)
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -1,9 +1,9 @@
-from core.gateway.samples import make_beat
+from core.gateway.samples import make_heartbeat
 from daemon.gateway.desk import Desk
 from msgspec import json
 
 from bergamotwood_core.errors import ReplicationError
-from bergamotwood_core.gateway.machine import RolloutOutcome, ServiceRollout
+from bergamotwood_core.gateway.state_machine import RolloutOutcome, ServiceRollout
 from bergamotwood_core.ids import InstanceId, LogIndex
 from bergamotwood_core.states import EndpointState
 from bergamotwood_daemon.gateway.message import HttpRequest
@@ -154,7 +154,7 @@
 
 def test_metrics_are_served_as_text():
     desk = Desk()
-    desk.beats = [make_beat()]
+    desk.beats = [make_heartbeat()]
     desk.learn()
     table = EntryCalls(desk.entry).make_metrics_table()
     text = call(table, "GET", "/metrics").body.decode()
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -2,7 +2,7 @@
 from msgspec.json import encode
 
 from bergamotwood_core.errors import RequestError
-from bergamotwood_core.gateway.configuration import RouteKind, find_faults
+from bergamotwood_core.gateway.configuration import RouteKind, find_configuration_errors
 from bergamotwood_core.states import EndpointState
 from bergamotwood_platform.documents import (
     decode_beat,
@@ -64,7 +64,7 @@
 
 def test_a_configuration_becomes_the_gateways():
     configuration = decode_configuration(encode(CONFIGURATION))
-    assert find_faults(configuration) == ()
+    assert find_configuration_errors(configuration) == ()
     route = configuration.routes[0]
     assert configuration.number == 7
     assert route.host == "ficu95.example"
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,7 +1,7 @@
 import pytest
 
 from bergamotwood_core.errors import RequestError
-from bergamotwood_core.gateway.call import ForwardTerms, PromptPart
+from bergamotwood_core.gateway.call import ForwardMetadata, PromptPart
 from bergamotwood_core.ids import EndpointId, ModelName, WorkspaceId
 from bergamotwood_platform.headers import (
     read_answer,
@@ -47,7 +47,7 @@
 
 
 def test_an_endpoint_gets_the_routers_fields_and_never_the_callers_own():
-    terms = ForwardTerms(
+    terms = ForwardMetadata(
         endpoint=EndpointId("i-1"),
         patience_seconds=0.75,
         workspace=WorkspaceId("circle"),
@@ -73,7 +73,7 @@
 def test_a_callers_own_model_and_absence_of_terms_are_kept():
     fields = write_forward(
         [(b"x-model", b"large"), (b"x-tenant", b"forged")],
-        ForwardTerms(EndpointId("i-1"), 1.0),
+        ForwardMetadata(EndpointId("i-1"), 1.0),
     )
     assert dict(fields) == {
         b"x-model": b"large",
--- a/tests/soak/variants/keeps_keys.py
+++ b/tests/soak/variants/keeps_keys.py
@@ -6,16 +6,16 @@
 def change():
     from bergamotwood_core.gateway.routing import RoutingTable
 
-    find_holder = RoutingTable.find_holder
+    find_workspace = RoutingTable.find_workspace
     known = {}
 
     def find_ever(self, key):
-        holder = find_holder(self, key)
+        holder = find_workspace(self, key)
         if holder is not None:
             known[key] = holder
         return known.get(key)
 
-    RoutingTable.find_holder = find_ever
+    RoutingTable.find_workspace = find_ever
 
 
 if __name__ == "__main__":
--- a/tests/soak/variants/sends_twice.py
+++ b/tests/soak/variants/sends_twice.py
@@ -6,10 +6,10 @@
 def change():
     from bergamotwood_daemon.gateway import forwarder
 
-    def may_send_again(call, has_run, now):
+    def may_retry(call, has_run, now):
         return len(call.tried) < 3
 
-    forwarder.may_send_again = may_send_again
+    forwarder.may_retry = may_retry
 
 
 if __name__ == "__main__":
