--- a/tests/core/gateway/test_configuration.py
+++ b/tests/core/gateway/test_configuration.py
@@ -11,7 +11,7 @@
 from bergamotwood_core.ids import ServiceName, WorkspaceId
 
 
-def test_a_sound_configuration_has_no_faults():
+def test_valid_configuration_has_no_errors():
     assert find_configuration_errors(make_configuration()) == ()
 
 
@@ -30,7 +30,7 @@
         ({"path_prefix": "a/"}, "slash"),
     ],
 )
-def test_each_fault_of_a_route_is_named(change, fault):
+def test_each_error_names_its_route(change, fault):
     route = replace(make_route(), **change)
     faults = find_configuration_errors(make_configuration(routes=(route,)))
     assert len(faults) == 1
@@ -38,12 +38,12 @@
     assert route.name in faults[0]
 
 
-def test_two_routes_at_one_place_are_a_fault():
+def test_routes_with_equal_host_and_prefix_are_an_error():
     routes = (make_route(name="a"), make_route(name="b"))
     assert "2 routes" in find_configuration_errors(make_configuration(routes=routes))[0]
 
 
-def test_a_key_of_two_workspaces_is_a_fault():
+def test_key_shared_by_two_workspaces_is_an_error():
     holders = (
         GatewayWorkspace(WorkspaceId("a"), ("k",)),
         GatewayWorkspace(WorkspaceId("b"), ("k",)),
@@ -54,7 +54,7 @@
     )
 
 
-def test_only_repeatable_kinds_are_repeatable():
+def test_only_idempotent_and_resumable_routes_are_retryable():
     assert make_route(kind=RouteKind.IDEMPOTENT).is_retryable
     assert not make_route(kind=RouteKind.NON_IDEMPOTENT).is_retryable
     assert not make_route(kind=RouteKind.STREAMING).is_retryable
--- a/tests/core/gateway/test_endpoints.py
+++ b/tests/core/gateway/test_endpoints.py
@@ -9,30 +9,30 @@
 NOW = Seconds(10.0)
 
 
-def make_directory(*beats):
+def make_directory(*heartbeats):
     directory = EndpointDirectory(30.0)
-    for beat in beats:
-        directory.apply_heartbeat(beat, NOW)
+    for heartbeat in heartbeats:
+        directory.apply_heartbeat(heartbeat, NOW)
     return directory
 
 
 def list_ids(directory):
-    return sorted(beat.endpoint for beat in directory.list_heartbeats())
+    return sorted(heartbeat.endpoint for heartbeat in directory.list_heartbeats())
 
 
-def leave(endpoint="e-1", incarnation=1):
+def make_departure(endpoint="e-1", incarnation=1):
     return Departure(
         EndpointId(endpoint), Incarnation(incarnation), EndpointState.LEAVING
     )
 
 
-def test_a_late_beat_changes_nothing():
+def test_heartbeat_with_a_lower_sequence_is_ignored():
     directory = make_directory(make_heartbeat(sequence=Sequence(5), version="v2"))
     assert not directory.apply_heartbeat(make_heartbeat(sequence=Sequence(4)), NOW)
     assert directory.list_heartbeats()[0].version == "v2"
 
 
-def test_a_restart_under_the_same_id_begins_anew():
+def test_new_incarnation_supersedes_higher_sequences_of_the_old_one():
     directory = make_directory(make_heartbeat(sequence=Sequence(500)))
     restarted = make_heartbeat(incarnation=Incarnation(2), sequence=Sequence(1))
     assert directory.apply_heartbeat(restarted, NOW)
@@ -40,14 +40,14 @@
     assert directory.list_heartbeats() == (restarted,)
 
 
-def test_a_beat_that_only_tells_the_time_is_no_new_version():
+def test_heartbeat_without_changes_keeps_the_directory_version():
     directory = make_directory(make_heartbeat())
     version = directory.version
     assert directory.apply_heartbeat(make_heartbeat(sequence=Sequence(2)), NOW)
     assert directory.version == version
 
 
-def test_an_address_belongs_to_the_endpoint_that_started_last():
+def test_address_belongs_to_the_endpoint_that_started_last():
     directory = make_directory(make_heartbeat("old", address="a:1"))
     new = make_heartbeat("new", address="a:1", incarnation=Incarnation(9))
     assert directory.apply_heartbeat(new, NOW)
@@ -57,22 +57,22 @@
     assert list_ids(directory) == ["new"]
 
 
-def test_a_beat_after_the_departure_does_not_bring_an_endpoint_back():
+def test_heartbeat_after_the_departure_is_ignored():
     directory = make_directory(make_heartbeat())
-    directory.apply_departures([leave()])
+    directory.apply_departures([make_departure()])
     assert list_ids(directory) == []
     assert not directory.apply_heartbeat(make_heartbeat(sequence=Sequence(9)), NOW)
     assert directory.apply_heartbeat(make_heartbeat(incarnation=Incarnation(2)), NOW)
     assert list_ids(directory) == ["e-1"]
 
 
-def test_an_old_departure_does_not_end_a_new_incarnation():
+def test_departure_of_an_old_incarnation_keeps_the_new_one():
     directory = make_directory(make_heartbeat(incarnation=Incarnation(2)))
-    directory.apply_departures([leave(incarnation=1)])
+    directory.apply_departures([make_departure(incarnation=1)])
     assert list_ids(directory) == ["e-1"]
 
 
-def test_silent_endpoints_are_forgotten_only_after_long():
+def test_silent_endpoint_is_removed_after_the_expiry_time():
     directory = make_directory(make_heartbeat())
     directory.expire(Seconds(NOW + 29.0))
     assert list_ids(directory) == ["e-1"]
@@ -80,7 +80,7 @@
     assert list_ids(directory) == []
 
 
-def test_endpoints_without_beats_are_named():
+def test_endpoints_with_overdue_heartbeats_are_listed_as_silent():
     directory = make_directory(make_heartbeat("a"), make_heartbeat("b"))
     directory.apply_heartbeat(
         make_heartbeat("b", sequence=Sequence(2)), Seconds(NOW + 2.0)
--- a/tests/core/gateway/test_events.py
+++ b/tests/core/gateway/test_events.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1000])
-def test_events_are_whole_however_the_bytes_come(size):
+def test_events_are_split_alike_for_every_chunk_size(size):
     splitter = EventSplitter()
     events = []
     for at in range(0, len(TEXT), size):
@@ -18,7 +18,7 @@
     assert splitter.has_partial_event
 
 
-def test_nothing_is_left_after_a_whole_event():
+def test_no_partial_event_remains_after_a_complete_one():
     splitter = EventSplitter()
     assert len(splitter.feed(b"data: x\n\n")) == 1
     assert not splitter.has_partial_event
--- a/tests/core/gateway/test_health.py
+++ b/tests/core/gateway/test_health.py
@@ -11,34 +11,34 @@
 FIRST = Incarnation(1)
 
 
-def note(table, result, now=0.0, incarnation=FIRST):
+def record(table, result, now=0.0, incarnation=FIRST):
     table.record_result(E1, incarnation, result, 0.1, Seconds(now))
     return table.find(E1, incarnation)
 
 
-def test_unreachable_endpoints_pause_longer_each_time_up_to_a_bound():
+def test_pause_of_an_unreachable_endpoint_doubles_up_to_the_maximum():
     table = HealthTable()
-    pauses = [note(table, AttemptResult.UNREACHABLE).paused_until for _ in range(6)]
+    pauses = [record(table, AttemptResult.UNREACHABLE).paused_until for _ in range(6)]
     assert pauses == [0.5, 1.0, 2.0, 4.0, 4.0, 4.0]
     assert max(pauses) == MAX_PAUSE_SECONDS
-    note(table, AttemptResult.OK)
-    assert note(table, AttemptResult.UNREACHABLE, now=10.0).paused_until == 10.5
+    record(table, AttemptResult.OK)
+    assert record(table, AttemptResult.UNREACHABLE, now=10.0).paused_until == 10.5
 
 
-def test_an_endpoint_that_hangs_or_breaks_comes_to_count_as_failing():
+def test_failed_attempts_raise_the_failure_rate_above_the_threshold():
     for result in (AttemptResult.SILENT, AttemptResult.BROKEN, AttemptResult.ERROR):
         table = HealthTable()
         for _ in range(4):
-            health = note(table, result)
+            health = record(table, result)
         assert health.failure_rate > FAILING_RATE
         for _ in range(10):
-            health = note(table, AttemptResult.OK)
+            health = record(table, AttemptResult.OK)
         assert health.failure_rate < FAILING_RATE
 
 
-def test_a_new_incarnation_begins_anew_and_old_news_of_it_is_void():
+def test_new_incarnation_or_removed_endpoint_starts_with_empty_health():
     table = HealthTable()
-    assert note(table, AttemptResult.REPLACED).is_replaced
+    assert record(table, AttemptResult.REPLACED).is_replaced
     second = Incarnation(2)
     assert not table.find(E1, second).is_replaced
     table.retain(set())
--- a/tests/core/gateway/test_load.py
+++ b/tests/core/gateway/test_load.py
@@ -12,7 +12,7 @@
 Q1, Q2 = RequestId("q-1"), RequestId("q-2")
 
 
-def test_a_prompt_counts_until_its_answer_begins_and_a_request_until_it_ends():
+def test_prompt_counts_until_its_answer_starts_and_request_until_it_ends():
     loads = LoadTable()
     loads.add_request(E1, Q1, 0.5)
     loads.add_request(E1, Q2, 0.25)
@@ -26,7 +26,7 @@
     assert loads.count_requests() == 0
 
 
-def test_the_loads_of_others_are_added_and_replaced():
+def test_loads_of_other_instances_are_added_and_replaced():
     loads = LoadTable()
     loads.add_request(E1, Q1, 0.5)
     loads.set_others({E1: EndpointLoad(3, 0.25), E2: EndpointLoad(1, 0.0)})
@@ -36,7 +36,7 @@
     assert loads.find(E1) == EndpointLoad(1, 0.5)
 
 
-def test_a_sum_leaves_out_the_report_of_the_entry_that_asks():
+def test_sum_excludes_the_report_of_the_receiving_instance():
     total = LoadSum()
     one = {E1: EndpointLoad(1, 0.125)}
     other = {E1: EndpointLoad(2, 0.2), E2: EndpointLoad(1, 0.0)}
@@ -50,7 +50,7 @@
     assert total.list_without(other) == one
 
 
-def test_a_sum_keeps_nothing_of_reports_that_were_taken_away():
+def test_sum_is_empty_after_all_reports_are_subtracted():
     rng = Random(3)
     reports = [
         {E1: EndpointLoad(rng.randint(1, 9), round(rng.random(), 3))}
--- a/tests/core/gateway/test_retries.py
+++ b/tests/core/gateway/test_retries.py
@@ -8,14 +8,14 @@
 NOW = Seconds(0.0)
 
 
-def test_a_request_that_may_have_run_is_repeated_only_if_it_may_be():
+def test_request_that_may_have_run_is_retried_only_on_a_retryable_route():
     once = make_call(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=3), runs=1)
     often = make_call(make_route(max_attempts=3), runs=1)
     assert not may_retry(once, has_run=True, now=NOW)
     assert may_retry(often, has_run=True, now=NOW)
 
 
-def test_a_refusal_that_ran_nothing_is_repeated_for_every_kind():
+def test_refused_request_is_retried_on_every_kind_of_route():
     call = make_call(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=1))
     call.tried = [EndpointId("e-1")]
     assert may_retry(call, has_run=False, now=NOW)
@@ -23,29 +23,29 @@
     assert not may_retry(call, has_run=False, now=NOW)
 
 
-def test_attempts_and_time_bound_the_repeats():
+def test_attempts_and_deadline_limit_retries():
     call = make_call(make_route(max_attempts=2), runs=2)
     assert not may_retry(call, has_run=True, now=NOW)
     late = make_call(make_route(max_attempts=2), runs=1)
     assert not may_retry(late, has_run=True, now=Seconds(2.99))
 
 
-def test_all_entries_together_keep_the_fleets_budget_in_every_window():
-    entries = [RetryBudget(0.5, 30.0, 10.0) for _ in range(5)]
-    requests, repeats = [], []
+def test_all_instances_together_stay_within_the_fleet_budget_in_every_window():
+    budgets = [RetryBudget(0.5, 30.0, 10.0) for _ in range(5)]
+    requests, retries = [], []
     for step in range(600):
         now = Seconds(step * 0.1)
-        for entry in entries:
-            entry.instance_count = len(entries)
+        for budget in budgets:
+            budget.instance_count = len(budgets)
             if 200 <= step < 300:
-                entry.record_request(PLAIN, now)
+                budget.record_request(PLAIN, now)
                 requests.append(now)
             for _ in range(3):
-                if entry.allows(PLAIN, now):
-                    entry.record_retry(PLAIN, now)
-                    repeats.append(now)
+                if budget.allows(PLAIN, now):
+                    budget.record_retry(PLAIN, now)
+                    retries.append(now)
     for start in range(0, 50):
-        inside = [at for at in repeats if start <= at < start + 10.0]
+        inside = [at for at in retries if start <= at < start + 10.0]
         # Requests count in the window and in the one before.
-        asked = [at for at in requests if start - 10.0 <= at < start + 10.0]
-        assert len(inside) <= 0.5 * len(asked) + 30.0
+        counted = [at for at in requests if start - 10.0 <= at < start + 10.0]
+        assert len(inside) <= 0.5 * len(counted) + 30.0
--- a/tests/core/gateway/test_rollout.py
+++ b/tests/core/gateway/test_rollout.py
@@ -25,11 +25,11 @@
 ENOUGH = [VersionEvidence(SERVICE, "v2", "r", MIN_EVIDENCE_TRIALS, 0)]
 
 
-def view(elapsed, share):
+def make_view(elapsed, share):
     return RolloutView(ROLLOUT, elapsed, share)
 
 
-def test_the_share_grows_with_time_and_waits_for_evidence_and_capacity():
+def test_share_grows_with_time_and_requires_evidence_and_capacity():
     shares = [choose_share(ROLLOUT, at, ENOUGH, True) for at in range(21)]
     assert shares == sorted(shares)
     assert shares[0] == 0.0
@@ -40,12 +40,12 @@
     assert choose_share(ROLLOUT, 16.0, ENOUGH, False) == 0.0
 
 
-def test_sessions_go_to_the_new_version_once_and_stay():
+def test_session_moves_to_the_new_version_once_and_stays():
     for at in range(300):
         session = f"s{at}"
         on_target = [
             is_on_target(
-                view(t, choose_share(ROLLOUT, t, ENOUGH, True)), session, False
+                make_view(t, choose_share(ROLLOUT, t, ENOUGH, True)), session, False
             )
             for t in range(21)
         ]
@@ -54,27 +54,31 @@
 
 def test_open_sessions_stay_on_their_version_in_the_first_half():
     moved = [
-        f"s{at}" for at in range(400) if is_on_target(view(5.0, 0.1), f"s{at}", False)
+        f"s{at}"
+        for at in range(400)
+        if is_on_target(make_view(5.0, 0.1), f"s{at}", False)
     ]
     assert 20 < len(moved) < 60
-    assert not any(is_on_target(view(9.9, 0.1), session, True) for session in moved)
-    assert all(is_on_target(view(10.0, 0.1), session, True) for session in moved)
+    assert not any(
+        is_on_target(make_view(9.9, 0.1), session, True) for session in moved
+    )
+    assert all(is_on_target(make_view(10.0, 0.1), session, True) for session in moved)
 
 
-def test_entries_tell_each_other_which_sessions_are_open():
-    memory = SessionVersions(5.0)
+def test_open_sessions_of_other_versions_are_listed_until_they_expire():
+    sessions = SessionVersions(5.0)
     for at in range(200):
-        memory.record(SERVICE, SessionId(f"s{at}"), "v1", Seconds(10.0))
-    memory.record(SERVICE, SessionId("s0"), "v2", Seconds(10.0))
-    told = memory.list_open(ROLLOUT, Seconds(11.0))
-    assert 5 < len(told) < 35
-    assert "s0" not in told
-    assert memory.find_version(SERVICE, SessionId("s1"), Seconds(14.9)) == "v1"
-    assert memory.find_version(SERVICE, SessionId("s1"), Seconds(15.1)) is None
-    assert memory.list_open(ROLLOUT, Seconds(15.1)) == []
+        sessions.record(SERVICE, SessionId(f"s{at}"), "v1", Seconds(10.0))
+    sessions.record(SERVICE, SessionId("s0"), "v2", Seconds(10.0))
+    listed = sessions.list_open(ROLLOUT, Seconds(11.0))
+    assert 5 < len(listed) < 35
+    assert "s0" not in listed
+    assert sessions.find_version(SERVICE, SessionId("s1"), Seconds(14.9)) == "v1"
+    assert sessions.find_version(SERVICE, SessionId("s1"), Seconds(15.1)) is None
+    assert sessions.list_open(ROLLOUT, Seconds(15.1)) == []
 
 
-def play(rates, seed, seconds=24.0, rate=20.0, baseline=0.01):
+def simulate_rollout(rates, seed, seconds=24.0, rate=20.0, baseline=0.01):
     """Play a roll-out; return its outcome and the requests on the new version.
 
     Parameters
@@ -83,7 +87,7 @@
         Chance of a bad answer of the new version at a time.
     """
     rng = Random(seed)
-    watch = RegressionDetector()
+    detector = RegressionDetector()
     rollout = ServiceRollout(
         SERVICE, "v2", seconds, RolloutOutcome.IN_PROGRESS, LogIndex(4), 0.0
     )
@@ -93,9 +97,11 @@
     while elapsed < seconds:
         elapsed += 0.25
         evidence = [VersionEvidence(SERVICE, v, "r", *c) for v, c in counts.items()]
-        harm = watch.find_regressed_route(rollout, evidence, Seconds(elapsed))
+        regressed_route = detector.find_regressed_route(
+            rollout, evidence, Seconds(elapsed)
+        )
         share = choose_share(rollout, elapsed, evidence, True)
-        outcome = choose_outcome(rollout, elapsed, harm, share, 0)
+        outcome = choose_outcome(rollout, elapsed, regressed_route, share, 0)
         if outcome is not RolloutOutcome.IN_PROGRESS:
             return outcome, counts["v2"][0], bad_answers
         for _ in range(int(rate * 0.25)):
@@ -109,17 +115,17 @@
 
 
 @pytest.mark.parametrize("bad", [0.35, 0.5, 1.0])
-def test_a_bad_version_is_rolled_back_within_its_exposure(bad):
+def test_bad_version_is_rolled_back_within_the_exposure_limit(bad):
     for seed in range(30):
-        outcome, exposed, answers = play(lambda t: bad, seed)
+        outcome, exposed, answers = simulate_rollout(lambda t: bad, seed)
         assert outcome is RolloutOutcome.ROLLED_BACK
         assert exposed <= 0.15 * 480 + 30
         assert answers < 50
 
 
-def test_a_version_that_turns_bad_late_is_rolled_back_within_its_exposure():
+def test_version_that_turns_bad_late_is_rolled_back_within_the_exposure_limit():
     for seed in range(30):
-        outcome, exposed, _ = play(lambda t: 0.5 if t > 8.0 else 0.0, seed)
+        outcome, exposed, _ = simulate_rollout(lambda t: 0.5 if t > 8.0 else 0.0, seed)
         assert outcome is RolloutOutcome.ROLLED_BACK
         assert exposed <= 0.15 * 480 + 30
 
@@ -127,19 +133,20 @@
 @pytest.mark.parametrize("baseline", [0.0, 0.02, 0.14])
 def test_good_versions_are_completed_before_the_deadline(baseline):
     outcomes = [
-        play(lambda t: baseline, seed, baseline=baseline)[0] for seed in range(60)
+        simulate_rollout(lambda t: baseline, seed, baseline=baseline)[0]
+        for seed in range(60)
     ]
     assert outcomes.count(RolloutOutcome.COMPLETED) >= 58
 
 
-def test_requests_on_the_version_before_are_waited_for():
+def test_completion_waits_for_requests_on_the_previous_version():
     early = choose_outcome(ROLLOUT, 17.0, None, 1.0, 3)
     assert early is RolloutOutcome.IN_PROGRESS
     assert choose_outcome(ROLLOUT, 17.0, None, 1.0, 0) is RolloutOutcome.COMPLETED
     assert choose_outcome(ROLLOUT, 19.0, None, 1.0, 3) is RolloutOutcome.COMPLETED
 
 
-def test_evidence_of_all_entries_is_added_up():
+def test_evidence_of_all_instances_is_summed():
     one = (VersionEvidence(SERVICE, "v2", "r", 3, 1),)
     other = (VersionEvidence(SERVICE, "v2", "r", 2, 0),)
     assert merge_evidence([one, other]) == [VersionEvidence(SERVICE, "v2", "r", 5, 1)]
--- a/tests/core/gateway/test_routing.py
+++ b/tests/core/gateway/test_routing.py
@@ -10,7 +10,7 @@
     return RoutingTable(make_configuration(routes=routes))
 
 
-def test_the_longest_prefix_wins():
+def test_longest_prefix_wins():
     table = make_table("/a/", "/a/b/", "/")
     assert table.find_route("h.example", "/a/b/c").name == "/a/b/"
     assert table.find_route("h.example", "/a/b/").name == "/a/b/"
@@ -18,7 +18,7 @@
     assert table.find_route("h.example", "/x").name == "/"
 
 
-def test_a_path_or_host_without_a_route_has_none():
+def test_unmatched_path_or_host_has_no_route():
     table = make_table("/a/b/")
     assert table.find_route("h.example", "/a/") is None
     assert table.find_route("h.example", "/a/b") is None
@@ -26,14 +26,14 @@
     assert table.find_route("other.example", "/a/b/c") is None
 
 
-def test_keys_name_their_workspace():
+def test_key_identifies_its_workspace():
     table = RoutingTable(make_configuration())
     assert table.find_workspace("key-2").workspace == "circle"
     assert table.find_workspace("key-3") is None
     assert table.find_workspace("") is None
 
 
-def test_destinations_get_their_weights_and_keep_their_subjects():
+def test_destinations_follow_their_weights_and_stay_fixed_per_affinity_key():
     route = make_route(
         destinations=(
             Destination(ServiceName("x"), 90.0),
--- a/tests/core/gateway/test_state_machine.py
+++ b/tests/core/gateway/test_state_machine.py
@@ -23,11 +23,11 @@
     )
 
 
-def begin(target="v2"):
+def make_begin_rollout(target="v2"):
     return BeginRollout(SERVICE, target, 20.0, 100.0)
 
 
-def test_the_highest_number_holds_and_gaps_are_allowed():
+def test_highest_configuration_number_wins_and_gaps_are_allowed():
     machine = GatewayStateMachine()
     assert apply(machine, ReplaceConfiguration(7, b"seven")).changed
     older = apply(machine, ReplaceConfiguration(4, b"four"))
@@ -37,17 +37,17 @@
     assert (machine.state.number, machine.state.document) == (12, b"twelve")
 
 
-def test_other_content_under_the_number_held_changes_nothing():
+def test_different_document_with_the_current_number_is_ignored():
     machine = GatewayStateMachine()
     apply(machine, ReplaceConfiguration(7, b"seven"))
     assert not apply(machine, ReplaceConfiguration(7, b"other")).changed
     assert machine.state.document == b"seven"
 
 
-def test_an_ordered_rollout_is_accepted_again():
+def test_repeated_rollout_order_is_accepted_without_change():
     machine = GatewayStateMachine()
-    assert apply(machine, begin(), 3).changed
-    again = apply(machine, begin(), 4)
+    assert apply(machine, make_begin_rollout(), 3).changed
+    again = apply(machine, make_begin_rollout(), 4)
     assert again.accepted
     assert not again.changed
     assert machine.state.rollouts[SERVICE].index == 3
@@ -55,22 +55,22 @@
 
 def test_two_rollouts_of_a_service_do_not_overlap():
     machine = GatewayStateMachine()
-    apply(machine, begin())
-    assert not apply(machine, begin("v3")).accepted
+    apply(machine, make_begin_rollout())
+    assert not apply(machine, make_begin_rollout("v3")).accepted
     apply(machine, SettleRollout(SERVICE, "v2", RolloutOutcome.ROLLED_BACK))
-    assert apply(machine, begin("v3")).changed
+    assert apply(machine, make_begin_rollout("v3")).changed
 
 
-def test_a_settled_rollout_keeps_its_first_verdict():
+def test_settled_rollout_keeps_its_first_outcome():
     machine = GatewayStateMachine()
-    apply(machine, begin())
+    apply(machine, make_begin_rollout())
     apply(machine, SettleRollout(SERVICE, "v2", RolloutOutcome.COMPLETED))
     late = apply(machine, SettleRollout(SERVICE, "v2", RolloutOutcome.ROLLED_BACK))
     assert not late.changed
     assert machine.state.rollouts[SERVICE].outcome is RolloutOutcome.COMPLETED
 
 
-def test_departures_are_kept_once_and_bounded():
+def test_departures_are_recorded_once_and_limited_in_number():
     machine = GatewayStateMachine()
     for at in range(MAX_DEPARTURES + 5):
         command = RecordDeparture(
@@ -82,10 +82,10 @@
     assert machine.state.departures[-1].endpoint == f"e{MAX_DEPARTURES + 4}"
 
 
-def test_a_restored_snapshot_is_the_same_state():
+def test_restored_snapshot_equals_the_original_state():
     machine = GatewayStateMachine()
     apply(machine, ReplaceConfiguration(7, compress_document(b"seven")))
-    apply(machine, begin())
+    apply(machine, make_begin_rollout())
     other = GatewayStateMachine()
     other.restore(machine.snapshot())
     assert other.state == machine.state
