--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -11,7 +11,7 @@
 from click import command, option
 
 from benchmarks.figures import Row, write_figures
-from bergamotwood_core.key_table import MAX_EXPIRED, MAX_KEYS, hash_scope
+from bergamotwood_core.key_table import MAX_EXPIRED_KEYS, MAX_KEYS, hash_scope
 from bergamotwood_core.ledger import (
     Attempt,
     Bill,
@@ -154,7 +154,7 @@
     write_figures("ledger-commands", seed, rows)
     memory = [measure_memory(seed, size, 0) for size in sizes]
     if not short:
-        memory.append(measure_memory(seed, MAX_KEYS, MAX_EXPIRED))
+        memory.append(measure_memory(seed, MAX_KEYS, MAX_EXPIRED_KEYS))
     write_figures("ledger-memory", seed, memory)
 
 
--- a/packages/core/src/bergamotwood_core/bill_table.py
+++ b/packages/core/src/bergamotwood_core/bill_table.py
@@ -6,14 +6,14 @@
 from msgspec import Struct
 
 from bergamotwood_core.ids import RequestId, WorkspaceId
-from bergamotwood_core.ledger_command import MAX_FIELD, Bill
+from bergamotwood_core.ledger_command import MAX_FIELD_CHARACTERS, Bill
 from bergamotwood_core.watermark import parse_request_id
 
 # Newest bills that are kept whole; the totals count every bill.
 MAX_BILLS = 10_000
 MAX_ATTEMPTS = 64
 # Cost is summed in whole billionths of a unit, so that no sum is rounded.
-BILLIONTHS = 1_000_000_000
+BILLIONTHS_PER_UNIT = 1_000_000_000
 MAX_COST = 1e9
 MAX_TOKENS = 10**9
 
@@ -38,7 +38,7 @@
     @property
     def cost(self) -> float:
         """Cost in units."""
-        return self.cost_billionths / BILLIONTHS
+        return self.cost_billionths / BILLIONTHS_PER_UNIT
 
 
 class BillTable:
@@ -64,32 +64,35 @@
 
     def list(self, workspace: WorkspaceId | None, limit: int) -> list[Bill]:
         """List the newest bills, the newest first."""
-        chosen: list[Bill] = []
+        newest: list[Bill] = []
         for bill in reversed(self.bills.values()):
-            if len(chosen) >= limit:
+            if len(newest) >= limit:
                 break
             if workspace is None or bill.workspace == workspace:
-                chosen.append(bill)
-        return chosen
+                newest.append(bill)
+        return newest
 
 
 def is_valid(bill: Bill) -> bool:
     """Tell whether a bill can be added: sane numbers and an entry's id."""
     if parse_request_id(bill.request) is None or len(bill.attempts) > MAX_ATTEMPTS:
         return False
-    if len(bill.key or "") > MAX_FIELD or len(bill.digest) > MAX_FIELD:
+    if (
+        len(bill.key or "") > MAX_FIELD_CHARACTERS
+        or len(bill.digest) > MAX_FIELD_CHARACTERS
+    ):
         return False
-    if not _is_cost(bill.cost):
+    if not _is_valid_cost(bill.cost):
         return False
     return all(
-        _is_cost(attempt.cost)
+        _is_valid_cost(attempt.cost)
         and 0 <= attempt.prompt_tokens <= MAX_TOKENS
         and 0 <= attempt.output_tokens <= MAX_TOKENS
         for attempt in bill.attempts
     )
 
 
-def _is_cost(cost: float) -> bool:
+def _is_valid_cost(cost: float) -> bool:
     return isfinite(cost) and 0.0 <= cost <= MAX_COST
 
 
@@ -97,7 +100,7 @@
     attempts = bill.attempts
     prompt_tokens = sum(attempt.prompt_tokens for attempt in attempts)
     output_tokens = sum(attempt.output_tokens for attempt in attempts)
-    cost = round(bill.cost * BILLIONTHS)
+    cost = round(bill.cost * BILLIONTHS_PER_UNIT)
     return Total(
         bills=total.bills + sign,
         attempts=total.attempts + sign * len(attempts),
--- a/packages/core/src/bergamotwood_core/bootstrap.py
+++ b/packages/core/src/bergamotwood_core/bootstrap.py
@@ -13,7 +13,7 @@
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import InstanceId, ReplicaId, Term
-from bergamotwood_core.logmessages import Hello, Message, Welcome
+from bergamotwood_core.logmessages import JoinReply, JoinRequest, Message
 from bergamotwood_core.membership import (
     AddLearner,
     Genesis,
@@ -29,7 +29,7 @@
     can_change_membership,
 )
 
-HELLO_HEARTBEATS = 5
+JOIN_RETRY_HEARTBEATS = 5
 # Entries that a learner may lack when it becomes a voter.
 PROMOTION_LAG_ENTRIES = 200
 # Members of an open group; more would only cost bandwidth.
@@ -38,7 +38,7 @@
 MAX_OPEN_VOTERS = 5
 # Silence of the leader, in election time-outs, after which a replica asks to
 # join again: it may have been removed while it was away.
-CUT_OFF_ELECTIONS = 3
+REJOIN_ELECTION_TIMEOUTS = 3
 
 
 def is_member(state: ReplicaState) -> bool:
@@ -46,73 +46,73 @@
     return state.membership.find(state.replica) is not None
 
 
-def is_cut_off(state: ReplicaState, now: Seconds) -> bool:
+def should_request_join(state: ReplicaState, now: Seconds) -> bool:
     """Whether the replica has to ask the others for the group."""
     if state.genesis is None or not is_member(state):
         return True
     if not state.settings.open_membership or state.role is Role.LEADER:
         return False
-    limit = CUT_OFF_ELECTIONS * state.settings.election_seconds
-    return now > state.heard_at + limit
+    limit = REJOIN_ELECTION_TIMEOUTS * state.settings.election_seconds
+    return now > state.leader_heard_at + limit
 
 
-def send_hellos(state: ReplicaState, now: Seconds) -> None:
+def request_join(state: ReplicaState, now: Seconds) -> None:
     """Ask the group's instances to join, from time to time."""
-    if now < state.hello_at:
+    if now < state.join_retry_at:
         return
-    wait = HELLO_HEARTBEATS * state.settings.heartbeat_seconds
-    state.hello_at = Seconds(now + wait)
+    wait = JOIN_RETRY_HEARTBEATS * state.settings.heartbeat_seconds
+    state.join_retry_at = Seconds(now + wait)
     _form_group(state, now)
-    for instance in _find_others(state):
-        answers = state.heard_identity.get(instance, ReplicaId(""))
-        leader, term = state.heard_leader
-        hello = Hello(
+    for instance in _list_other_instances(state):
+        receiver = state.known_identities.get(instance, ReplicaId(""))
+        leader, term = state.known_leader
+        request = JoinRequest(
             state.settings.initial_voters,
             state.genesis is not None,
-            answers,
-            term if leader == answers else Term(0),
+            receiver,
+            term if leader == receiver else Term(0),
         )
-        state.send(instance, ReplicaId(""), hello)
+        state.send(instance, ReplicaId(""), request)
 
 
-def answer_hello(
-    state: ReplicaState, message: Message, body: Hello, now: Seconds
+def handle_join_request(
+    state: ReplicaState, message: Message, body: JoinRequest, now: Seconds
 ) -> None:
     """Answer a replica that is not a member."""
     if state.genesis is None:
-        state.heard_identity[message.instance] = message.sender
-        _note_greeting(state, message, body, now)
+        state.known_identities[message.instance] = message.sender
+        _record_waiting_identity(state, message, body, now)
         return
     if message.genesis not in ("", state.genesis.id):
         return
-    leads = state.role is Role.LEADER
-    contacts = tuple(member.instance for member in state.membership.members)
-    welcome = Welcome(state.genesis, leads, contacts)
-    state.send(message.instance, message.sender, welcome)
-    current = body.answers == state.replica and body.answers_term == state.term
-    if leads and current and _may_join(state, message.instance):
-        state.leadership.newcomers[message.instance] = message.sender
+    is_leader = state.role is Role.LEADER
+    instances = tuple(member.instance for member in state.membership.members)
+    reply = JoinReply(state.genesis, is_leader, instances)
+    state.send(message.instance, message.sender, reply)
+    current = body.receiver == state.replica and body.receiver_term == state.term
+    if is_leader and current and _may_join(state, message.instance):
+        state.leadership.join_requests[message.instance] = message.sender
 
 
-def take_welcome(
-    state: ReplicaState, message: Message, body: Welcome, now: Seconds
+def handle_join_reply(
+    state: ReplicaState, message: Message, body: JoinReply, now: Seconds
 ) -> None:
     """Join the group that a member belongs to."""
     if message.target != state.replica:
         return
     if state.genesis is None:
-        state.bind(body.genesis)
+        state.join_group(body.genesis)
         state.delay_election(now)
     if state.genesis.id != body.genesis.id:
         return
-    state.contacts.update(body.contacts)
-    state.heard_identity[message.instance] = message.sender
+    state.known_instances.update(body.member_instances)
+    state.known_identities[message.instance] = message.sender
     leader = (message.sender, message.term)
-    if body.leads and state.heard_leader != leader:
-        state.heard_leader = leader
+    if body.is_leader and state.known_leader != leader:
+        state.known_leader = leader
         if state.settings.open_membership:
             # Only a greeting that answers this leader counts: send it at once.
-            state.hello_at = now
+            state.join_retry_at = now
 
 
 def repair_membership(state: ReplicaState, now: Seconds) -> None:
@@ -125,13 +125,13 @@
         broadcast(state, now)
 
 
-def _note_greeting(
-    state: ReplicaState, message: Message, body: Hello, now: Seconds
+def _record_waiting_identity(
+    state: ReplicaState, message: Message, body: JoinRequest, now: Seconds
 ) -> None:
     agreed = body.voters == state.settings.initial_voters
-    if body.bound or not agreed or body.answers != state.replica:
+    if body.in_group or not agreed or body.receiver != state.replica:
         return
-    state.greetings[message.instance] = message.sender
+    state.waiting_identities[message.instance] = message.sender
     _form_group(state, now)
 
 
@@ -141,24 +141,24 @@
         return
     if voters[0] != state.settings.instance:
         return
-    identities = {**state.greetings, state.settings.instance: state.replica}
+    identities = {**state.waiting_identities, state.settings.instance: state.replica}
     if any(instance not in identities for instance in voters):
         return
     members = tuple(
         Member(instance, identities[instance], voting=True) for instance in voters
     )
     genesis = Genesis(state.replica, Membership(members))
-    state.bind(genesis)
+    state.join_group(genesis)
     state.delay_election(now)
     for member in members[1:]:
-        welcome = Welcome(genesis, leads=False)
-        state.send(member.instance, member.replica, welcome)
+        reply = JoinReply(genesis, is_leader=False)
+        state.send(member.instance, member.replica, reply)
 
 
-def _find_others(state: ReplicaState) -> list[InstanceId]:
+def _list_other_instances(state: ReplicaState) -> list[InstanceId]:
     known = {member.instance for member in state.membership.members}
     known.update(state.settings.initial_voters)
-    known.update(state.contacts)
+    known.update(state.known_instances)
     known.discard(state.settings.instance)
     return sorted(known)
 
@@ -186,8 +186,8 @@
     progress = state.leadership.progress.get(member.replica)
     if progress is None or _is_silent(state, member, now):
         return False
-    near = progress.match + PROMOTION_LAG_ENTRIES >= state.commit
-    return near and not progress.probing and progress.snapshot is None
+    caught_up = progress.match + PROMOTION_LAG_ENTRIES >= state.commit
+    return caught_up and not progress.probing and progress.snapshot is None
 
 
 def _has_room_for_voter(state: ReplicaState, now: Seconds) -> bool:
@@ -197,8 +197,8 @@
         for member in state.membership.members
         if member.replica == state.replica or not _is_silent(state, member, now)
     ]
-    odd = len(live) - 1 + len(live) % 2
-    return len(state.membership.voters) < min(odd, MAX_OPEN_VOTERS)
+    largest_odd = len(live) - 1 + len(live) % 2
+    return len(state.membership.voters) < min(largest_odd, MAX_OPEN_VOTERS)
 
 
 def _find_replaceable_voter(state: ReplicaState, now: Seconds) -> Remove | None:
@@ -211,15 +211,15 @@
 
 
 def _choose_repair(state: ReplicaState, now: Seconds) -> AddLearner | Remove | None:
-    newcomers = state.leadership.newcomers
-    for instance, replica in list(newcomers.items()):
+    requests = state.leadership.join_requests
+    for instance, replica in list(requests.items()):
         occupant = state.membership.find_instance(instance)
         if occupant is None:
             if len(state.membership.members) < MAX_OPEN_MEMBERS:
                 return AddLearner(instance, replica)
             return _find_silent_learner(state, now)
         if occupant.replica == replica:
-            del newcomers[instance]
+            del requests[instance]
         elif occupant.replica != state.replica and _is_lost(state, occupant, now):
             return Remove(occupant.replica)
     return None
--- a/packages/core/src/bergamotwood_core/change.py
+++ b/packages/core/src/bergamotwood_core/change.py
@@ -71,7 +71,7 @@
         setattr(target, name, getattr(source, name))
 
 
-def settle_rollout(tables: ConfigurationTables, rollout: Rollout) -> None:
+def apply_rollout_end(tables: ConfigurationTables, rollout: Rollout) -> None:
     """Apply the end of a roll-out to its model.
 
     A completed roll-out makes its candidate the current version; a stopped one
@@ -159,12 +159,14 @@
     before = tables.rollouts.get(rollout.key)
     progress = tables.progress.get(rollout.key)
     tables.rollouts[rollout.key] = rollout
-    tables.progress[rollout.key] = _renew_progress(before, progress, rollout, number)
+    tables.progress[rollout.key] = _carry_over_progress(
+        before, progress, rollout, number
+    )
     if rollout.state is RolloutState.STOPPED:
-        settle_rollout(tables, rollout)
+        apply_rollout_end(tables, rollout)
 
 
-def _renew_progress(
+def _carry_over_progress(
     before: Rollout | None,
     progress: RolloutProgress | None,
     rollout: Rollout,
@@ -173,7 +175,7 @@
     fresh = RolloutProgress(ticket=number, state=rollout.state)
     if rollout.state is RolloutState.STOPPED:
         fresh.reason = f"stopped by ticket {number}"
-    if before is None or progress is None or not _has_same_aim(before, rollout):
+    if before is None or progress is None or not _has_same_target(before, rollout):
         return fresh
     if progress.state in ACTIVE_STATES:
         stage = _find_stage(rollout, before.stages[progress.stage])
@@ -183,7 +185,7 @@
     return fresh
 
 
-def _has_same_aim(before: Rollout, after: Rollout) -> bool:
+def _has_same_target(before: Rollout, after: Rollout) -> bool:
     return (before.model, before.candidate) == (after.model, after.candidate)
 
 
--- a/packages/core/src/bergamotwood_core/control.py
+++ b/packages/core/src/bergamotwood_core/control.py
@@ -7,12 +7,12 @@
 from msgspec.msgpack import Decoder, Encoder
 
 from bergamotwood_core.change import (
+    apply_rollout_end,
     copy_tables,
     drop_finished_rollouts,
     merge_ticket,
     rebuild_versions,
     replace_tables,
-    settle_rollout,
 )
 from bergamotwood_core.configuration import (
     Cascade,
@@ -73,8 +73,8 @@
 MAX_SUSPECTS = 4_096
 MAX_CRASH_REPORTS = 8_192
 # Characters of a note, and names of objects, kept with a ticket's answer.
-MAX_KEPT_NOTE = 200
-MAX_KEPT_NAMES = 16
+MAX_NOTE_CHARACTERS = 200
+MAX_RECORDED_NAMES = 16
 
 
 class TicketRecord(Struct, frozen=True):
@@ -108,7 +108,7 @@
     records: list[TicketRecord]
 
 
-_ADVANCING = (RolloutState.RUNNING, RolloutState.COMPLETED)
+_ADVANCING_STATES = (RolloutState.RUNNING, RolloutState.COMPLETED)
 ENTITY_TYPES: dict[str, type[Entity]] = {
     "workspaces": Workspace,
     "models": Model,
@@ -210,7 +210,7 @@
         if faults:
             return TicketAnswer(number, TicketOutcome.INVALID, faults=faults)
         replace_tables(self.tables, merge_ticket(self.tables, ticket))
-        self._keep_record(ticket, digest, index, command.operator)
+        self._add_record(ticket, digest, index, command.operator)
         return TicketAnswer(number, TicketOutcome.ACCEPTED, index)
 
     def _answer_known_number(self, number: TicketNumber, digest: str) -> TicketAnswer:
@@ -225,7 +225,7 @@
         fault = f"number {number} was accepted{by} with other content"
         return TicketAnswer(number, TicketOutcome.CONFLICT, faults=(fault,))
 
-    def _keep_record(
+    def _add_record(
         self, ticket: Ticket, digest: str, index: LogIndex, operator: str
     ) -> None:
         number = TicketNumber(ticket.number)
@@ -233,9 +233,9 @@
             number=number,
             digest=digest,
             index=index,
-            operator=operator[:MAX_KEPT_NOTE],
-            note=ticket.note[:MAX_KEPT_NOTE],
-            names=tuple(_list_names(ticket))[:MAX_KEPT_NAMES],
+            operator=operator[:MAX_NOTE_CHARACTERS],
+            note=ticket.note[:MAX_NOTE_CHARACTERS],
+            names=tuple(_list_names(ticket))[:MAX_RECORDED_NAMES],
         )
         _drop_oldest(self.records, MAX_TICKETS)
 
@@ -248,7 +248,7 @@
             return CommandAnswer(False, f"set again by ticket {progress.ticket}")
         if progress.state not in ACTIVE_STATES:
             return CommandAnswer(False, f"roll-out is {progress.state}")
-        if rollout.state is RolloutState.PAUSED and command.state in _ADVANCING:
+        if rollout.state is RolloutState.PAUSED and command.state in _ADVANCING_STATES:
             return CommandAnswer(False, "paused by its ticket")
         if not progress.stage <= command.stage < len(rollout.stages):
             return CommandAnswer(False, f"stage {command.stage} is out of range")
@@ -258,9 +258,9 @@
             stage=command.stage,
             state=command.state,
             exposed=max(progress.exposed, command.exposed),
-            reason=command.reason[:MAX_KEPT_NOTE],
+            reason=command.reason[:MAX_NOTE_CHARACTERS],
         )
-        settle_rollout(tables, rollout)
+        apply_rollout_end(tables, rollout)
         rebuild_versions(tables)
         drop_finished_rollouts(tables)
         replace_tables(self.tables, tables)
@@ -309,7 +309,7 @@
 def _drop_oldest_suspect(suspects: dict[Fingerprint, Suspect]) -> None:
     if len(suspects) <= MAX_SUSPECTS:
         return
-    lighter = (
+    unquarantined = (
         key for key, item in suspects.items() if item.crashes < QUARANTINE_CRASHES
     )
-    del suspects[next(lighter, next(iter(suspects)))]
+    del suspects[next(unquarantined, next(iter(suspects)))]
--- a/packages/core/src/bergamotwood_core/document.py
+++ b/packages/core/src/bergamotwood_core/document.py
@@ -110,13 +110,13 @@
 def _load_decoded(text: str) -> Any:
     if text.lstrip().startswith("{"):
         try:
-            return json.loads(text, object_pairs_hook=_join_pairs)
+            return json.loads(text, object_pairs_hook=_build_mapping)
         except json.JSONDecodeError:
             pass
     return _load_yaml(text)
 
 
-def _join_pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _build_mapping(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     joined = dict(pairs)
     if len(joined) == len(pairs):
         return joined
@@ -152,18 +152,18 @@
 
 def _find_node_faults(root: Node) -> Iterator[str]:
     seen: set[int] = set()
-    waiting = [root]
-    while waiting:
-        node = waiting.pop()
+    pending = [root]
+    while pending:
+        node = pending.pop()
         if id(node) in seen:
             yield f"line {node.start_mark.line + 1}: aliases are not allowed"
             continue
         seen.add(id(node))
         if isinstance(node, SequenceNode):
-            waiting.extend(reversed(node.value))
+            pending.extend(reversed(node.value))
         if isinstance(node, MappingNode):
             yield from _find_repeated_keys(node)
-            waiting.extend(value for _, value in reversed(node.value))
+            pending.extend(value for _, value in reversed(node.value))
 
 
 def _find_repeated_keys(node: MappingNode) -> Iterator[str]:
--- a/packages/core/src/bergamotwood_core/election.py
+++ b/packages/core/src/bergamotwood_core/election.py
@@ -6,10 +6,10 @@
 from bergamotwood_core.logmessages import (
     Body,
     Message,
-    PreVote,
     PreVoteReply,
-    Vote,
+    PreVoteRequest,
     VoteReply,
+    VoteRequest,
 )
 from bergamotwood_core.replicastate import ReplicaState, Role
 from bergamotwood_core.replication import become_leader
@@ -25,7 +25,9 @@
         start_election(state, now, transfer=False)
         return
     proposed = Term(state.term + 1)
-    _ask_voters(state, PreVote(proposed, state.log.last_index, state.log.last_term))
+    _ask_voters(
+        state, PreVoteRequest(proposed, state.log.last_index, state.log.last_term)
+    )
 
 
 def start_election(state: ReplicaState, now: Seconds, transfer: bool) -> None:
@@ -38,16 +40,16 @@
     if state.membership.has_quorum(state.votes):
         become_leader(state, now)
         return
-    _ask_voters(state, Vote(state.log.last_index, state.log.last_term, transfer))
+    _ask_voters(state, VoteRequest(state.log.last_index, state.log.last_term, transfer))
 
 
 def answer_pre_vote(
-    state: ReplicaState, message: Message, body: PreVote, now: Seconds
+    state: ReplicaState, message: Message, body: PreVoteRequest, now: Seconds
 ) -> None:
     """Say whether a vote would be granted."""
     granted = (
         body.proposed_term > state.term
-        and not _is_bound_to_leader(state, now)
+        and not _has_live_leader(state, now)
         and _is_up_to_date(state, body.last_index, body.last_term)
     )
     reply = PreVoteReply(body.proposed_term, granted)
@@ -55,13 +57,13 @@
 
 
 def answer_vote(
-    state: ReplicaState, message: Message, body: Vote, now: Seconds
+    state: ReplicaState, message: Message, body: VoteRequest, now: Seconds
 ) -> None:
     """Give the vote of the term, at most once."""
     granted = (
         state.role is Role.FOLLOWER
         and state.leader is None
-        and state.hard.vote in ("", message.sender)
+        and state.hard_state.vote in ("", message.sender)
         and _is_up_to_date(state, body.last_index, body.last_term)
     )
     if granted:
@@ -70,17 +72,17 @@
     state.send(message.instance, message.sender, VoteReply(granted))
 
 
-def refuses_election(state: ReplicaState, body: Vote, now: Seconds) -> bool:
+def refuses_election(state: ReplicaState, body: VoteRequest, now: Seconds) -> bool:
     """Whether a vote in a later term is to be dropped unread."""
-    return not body.transfer and _is_bound_to_leader(state, now)
+    return not body.transfer and _has_live_leader(state, now)
 
 
 def count_pre_vote(
     state: ReplicaState, message: Message, body: PreVoteReply, now: Seconds
 ) -> None:
     """Count an answer; a majority starts the election."""
-    wanted = Term(state.term + 1)
-    if state.role is not Role.PRE_CANDIDATE or body.proposed_term != wanted:
+    proposed = Term(state.term + 1)
+    if state.role is not Role.PRE_CANDIDATE or body.proposed_term != proposed:
         return
     if not body.granted:
         return
@@ -100,8 +102,8 @@
         become_leader(state, now)
 
 
-def _is_bound_to_leader(state: ReplicaState, now: Seconds) -> bool:
-    return state.role is Role.LEADER or state.hears_leader(now)
+def _has_live_leader(state: ReplicaState, now: Seconds) -> bool:
+    return state.role is Role.LEADER or state.has_recent_leader(now)
 
 
 def _is_up_to_date(state: ReplicaState, index: LogIndex, term: Term) -> bool:
--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -5,8 +5,8 @@
 from bergamotwood_core.ids import LogIndex
 from bergamotwood_core.logentries import Entry, EntryLog, Snapshot
 from bergamotwood_core.logmessages import (
-    Append,
     AppendReply,
+    AppendRequest,
     Message,
     SnapshotPart,
     SnapshotReply,
@@ -15,63 +15,66 @@
 from bergamotwood_core.replicastate import IncomingSnapshot, ReplicaState, Role
 
 
-def take_append(
-    state: ReplicaState, message: Message, body: Append, now: Seconds
+def handle_append(
+    state: ReplicaState, message: Message, body: AppendRequest, now: Seconds
 ) -> None:
     """Take entries that follow the own log; else say where to look."""
-    _note_leader(state, message, now)
+    _follow_leader(state, message, now)
     if not _fits_log(state, body):
-        hint = _find_hint(state, body.previous_index)
+        hint = _find_match_hint(state, body.previous_index)
         _reply(state, message, body, accepted=False, match=hint, now=now)
         return
     _append_missing(state, body.entries)
     match = LogIndex(body.previous_index + len(body.entries))
     state.commit_to(LogIndex(min(body.commit, match)))
-    _note_age(state, body)
+    _update_confirmed_at(state, body)
     _reply(state, message, body, accepted=True, match=match, now=now)
 
 
-def take_snapshot_part(
+def handle_snapshot_part(
     state: ReplicaState, message: Message, body: SnapshotPart, now: Seconds
 ) -> None:
     """Collect a snapshot, and install it when it is whole."""
-    _note_leader(state, message, now)
+    _follow_leader(state, message, now)
     if body.index > state.commit:
-        received = _collect(state, body)
+        received = _add_part(state, body)
         if received < body.size:
-            reply = SnapshotReply(body.index, received, body.sent, state.get_stamp(now))
+            reply = SnapshotReply(body.index, received, body.sent, state.get_time(now))
             state.send(message.instance, message.sender, reply)
             return
         _install(state, body)
-    stamp = state.get_stamp(now)
-    done = AppendReply(True, body.index, body.index, body.sent, stamp)
-    state.send(message.instance, message.sender, done)
+    time = state.get_time(now)
+    reply = AppendReply(True, body.index, body.index, body.sent, time)
+    state.send(message.instance, message.sender, reply)
 
 
-def refuse_old_leader(
-    state: ReplicaState, message: Message, body: Append | SnapshotPart, now: Seconds
+def reject_stale_leader(
+    state: ReplicaState,
+    message: Message,
+    body: AppendRequest | SnapshotPart,
+    now: Seconds,
 ) -> None:
     """Tell a leader of an earlier term that a later one exists."""
-    stamp = state.get_stamp(now)
-    reply = AppendReply(False, LogIndex(0), LogIndex(0), body.sent, stamp)
+    time = state.get_time(now)
+    reply = AppendReply(False, LogIndex(0), LogIndex(0), body.sent, time)
     state.send(message.instance, message.sender, reply)
 
 
-def _note_leader(state: ReplicaState, message: Message, now: Seconds) -> None:
+def _follow_leader(state: ReplicaState, message: Message, now: Seconds) -> None:
     if state.role is not Role.FOLLOWER:
         state.become_follower(state.term, now)
     state.leader = Member(message.instance, message.sender, voting=True)
-    state.heard_at = now
+    state.leader_heard_at = now
     state.delay_election(now)
 
 
-def _fits_log(state: ReplicaState, body: Append) -> bool:
+def _fits_log(state: ReplicaState, body: AppendRequest) -> bool:
     if body.previous_index < state.log.start:
         return True
     return state.log.find_term(body.previous_index) == body.previous_term
 
 
-def _find_hint(state: ReplicaState, previous: LogIndex) -> LogIndex:
+def _find_match_hint(state: ReplicaState, previous: LogIndex) -> LogIndex:
     if previous > state.log.last_index:
         return state.log.last_index
     return max(state.log.find_conflict(previous), state.commit)
@@ -88,7 +91,7 @@
         return
 
 
-def _note_age(state: ReplicaState, body: Append) -> None:
+def _update_confirmed_at(state: ReplicaState, body: AppendRequest) -> None:
     if body.age is None or body.echo.session != state.session:
         return
     if state.commit >= body.commit:
@@ -99,21 +102,21 @@
 def _reply(
     state: ReplicaState,
     message: Message,
-    body: Append,
+    body: AppendRequest,
     accepted: bool,
     match: LogIndex,
     now: Seconds,
 ) -> None:
-    stamp = state.get_stamp(now)
-    reply = AppendReply(accepted, body.previous_index, match, body.sent, stamp)
+    time = state.get_time(now)
+    reply = AppendReply(accepted, body.previous_index, match, body.sent, time)
     state.send(message.instance, message.sender, reply)
 
 
-def _collect(state: ReplicaState, body: SnapshotPart) -> int:
+def _add_part(state: ReplicaState, body: SnapshotPart) -> int:
     incoming = state.incoming
-    wanted = (body.index, body.term, body.size)
-    if incoming is None or incoming.wanted != wanted:
-        incoming = IncomingSnapshot(wanted)
+    key = (body.index, body.term, body.size)
+    if incoming is None or incoming.key != key:
+        incoming = IncomingSnapshot(key)
         state.incoming = incoming
     if body.offset == len(incoming.data):
         incoming.data.extend(body.data)
--- a/packages/core/src/bergamotwood_core/key_table.py
+++ b/packages/core/src/bergamotwood_core/key_table.py
@@ -14,7 +14,7 @@
     WorkspaceId,
 )
 from bergamotwood_core.ledger_command import (
-    MAX_FIELD,
+    MAX_FIELD_CHARACTERS,
     Claim,
     ClaimAnswer,
     Conflict,
@@ -34,17 +34,17 @@
 
 # Keys with their whole record, and expired keys of which a hash is kept.
 MAX_KEYS = 20_000
-MAX_EXPIRED = 200_000
+MAX_EXPIRED_KEYS = 200_000
 # Seconds of log time after which the hash of an expired key may be dropped.
-KEY_RETENTION = 7 * 86_400.0
+KEY_RETENTION_SECONDS = 7 * 86_400.0
 # Seconds of log time after which a held claim counts as unknown.
-CLAIM_EXPIRY = 3_600.0
+CLAIM_EXPIRY_SECONDS = 3_600.0
 # Bytes of one stored answer, and of all of them.
 MAX_ANSWER_BYTES = 1_048_576
-MAX_ANSWERS_BYTES = 16_777_216
+MAX_TOTAL_ANSWER_BYTES = 16_777_216
 # Tokens given up that are remembered.
-MAX_RELEASED = 4_096
-HASH_BYTES = 8
+MAX_RELEASED_TOKENS = 4_096
+KEY_HASH_BYTES = 8
 
 Scope = tuple[WorkspaceId, IdempotencyKey]
 
@@ -84,7 +84,7 @@
 
     The oldest keys that are not held make room for new ones and leave a hash,
     so that an expired key is refused rather than run again. When there is no
-    room for hashes either, the oldest hash goes once it is `KEY_RETENTION` old;
+    room for hashes either, the oldest hash goes once it is `KEY_RETENTION_SECONDS` old;
     until then new keys are refused.
     """
 
@@ -104,7 +104,9 @@
         if record is not None:
             return _answer_known_key(record, command)
         if _is_too_long(command.key, command.digest, command.token):
-            return Refused(f"key, digest and token: at most {MAX_FIELD} characters")
+            return Refused(
+                f"key, digest and token: at most {MAX_FIELD_CHARACTERS} characters"
+            )
         if parse_request_id(command.request) is None:
             return Refused("request: must be an id made by an entry")
         if command.token in self.released:
@@ -133,7 +135,7 @@
         if is_holder and record.state is ClaimState.DONE:
             return False
         self.released[command.token] = None
-        if len(self.released) > MAX_RELEASED:
+        if len(self.released) > MAX_RELEASED_TOKENS:
             self.released.popitem(last=False)
         if not is_holder:
             return False
@@ -141,7 +143,7 @@
         self._held.pop(scope, None)
         return True
 
-    def settle(
+    def end_claim(
         self, scope: Scope, state: ClaimState, answer: StoredAnswer | None
     ) -> None:
         """End a claim as done or unknown."""
@@ -153,24 +155,26 @@
         record.answer = answer
         self.answers[scope] = len(answer.body)
         self.answer_bytes += len(answer.body)
-        while self.answer_bytes > MAX_ANSWERS_BYTES:
+        while self.answer_bytes > MAX_TOTAL_ANSWER_BYTES:
             self._drop_answer(next(iter(self.answers)))
 
     def abandon(self, instance: InstanceId, incarnation: Incarnation) -> int:
         """Mark the held claims of an entry as unknown."""
-        lost = [
+        scopes = [
             scope
             for scope in self._held
-            if _is_made_by(self.records[scope].request, instance, incarnation)
+            if _is_from_entry(self.records[scope].request, instance, incarnation)
         ]
-        return self._lose(lost)
+        return self._mark_unknown(scopes)
 
     def expire_claims(self, now: float) -> int:
         """Mark the claims that were held too long as unknown."""
-        lost = [
-            scope for scope in self._held if now - self.records[scope].at > CLAIM_EXPIRY
+        scopes = [
+            scope
+            for scope in self._held
+            if now - self.records[scope].at > CLAIM_EXPIRY_SECONDS
         ]
-        return self._lose(lost)
+        return self._mark_unknown(scopes)
 
     def rebuild(self) -> None:
         """Fill what follows from the records, after a restore."""
@@ -185,15 +189,15 @@
         """Count the claims that are held."""
         return len(self._held)
 
-    def _lose(self, scopes: list[Scope]) -> int:
+    def _mark_unknown(self, scopes: list[Scope]) -> int:
         for scope in scopes:
-            self.settle(scope, ClaimState.UNKNOWN, None)
+            self.end_claim(scope, ClaimState.UNKNOWN, None)
         return len(scopes)
 
     def _expire_oldest(self, now: float) -> bool:
-        if len(self.expired) >= MAX_EXPIRED:
+        if len(self.expired) >= MAX_EXPIRED_KEYS:
             oldest = next(iter(self.expired))
-            if now - self.expired[oldest] < KEY_RETENTION:
+            if now - self.expired[oldest] < KEY_RETENTION_SECONDS:
                 return False
             del self.expired[oldest]
         scope = next(self._list_unheld(), None)
@@ -220,7 +224,7 @@
     """Hash a workspace and key to the form in which expired keys are kept."""
     workspace, key = scope
     content = f"{len(workspace)}:{workspace}{key}".encode()
-    return blake2b(content, digest_size=HASH_BYTES).digest()
+    return blake2b(content, digest_size=KEY_HASH_BYTES).digest()
 
 
 def _answer_known_key(record: KeyRecord, command: Claim) -> ClaimAnswer:
@@ -237,7 +241,7 @@
             return Held(record.request)
 
 
-def _is_made_by(
+def _is_from_entry(
     request: RequestId, instance: InstanceId, incarnation: Incarnation
 ) -> bool:
     origin = parse_request_id(request)
@@ -247,4 +251,4 @@
 
 
 def _is_too_long(*fields: str) -> bool:
-    return any(len(field) > MAX_FIELD for field in fields)
+    return any(len(field) > MAX_FIELD_CHARACTERS for field in fields)
--- a/packages/core/src/bergamotwood_core/ledger.py
+++ b/packages/core/src/bergamotwood_core/ledger.py
@@ -16,6 +16,7 @@
 from bergamotwood_core.key_table import KeyRecord, KeyTable, Scope, hash_scope
 from bergamotwood_core.ledger_command import (
     Abandon,
+    Applied,
     Attempt,
     Bill,
     BillAnswer,
@@ -30,7 +31,6 @@
     Held,
     LedgerAnswer,
     LedgerCommand,
-    Noted,
     RecordBill,
     Refused,
     Release,
@@ -46,7 +46,7 @@
 )
 from bergamotwood_core.states import BillOutcome, ClaimState
 from bergamotwood_core.watermark import (
-    Mark,
+    SequenceStatus,
     StoredWindow,
     WindowTable,
     parse_request_id,
@@ -70,7 +70,7 @@
     "LedgerAnswer",
     "LedgerCommand",
     "LedgerMachine",
-    "Noted",
+    "Applied",
     "RecordBill",
     "Refused",
     "Release",
@@ -85,7 +85,7 @@
 ]
 
 # Seconds that one tick may let pass.
-MAX_TICK = 3_600.0
+MAX_TICK_SECONDS = 3_600.0
 
 
 class LedgerSnapshot(Struct, frozen=True):
@@ -227,7 +227,7 @@
             case Claim():
                 return self.keys.claim(command, self.now)
             case Release():
-                return Noted(int(self.keys.release(command)))
+                return Applied(int(self.keys.release(command)))
             case Finish():
                 return self._finish(command)
             case RecordBill():
@@ -235,21 +235,21 @@
             case VoidBill():
                 return self._void_bill(command.bill)
             case Abandon():
-                return Noted(self.keys.abandon(command.instance, command.incarnation))
+                return Applied(self.keys.abandon(command.instance, command.incarnation))
             case Tick():
                 return self._tick(command)
 
     def _tick(self, command: Tick) -> LedgerAnswer:
         if not isfinite(command.elapsed) or command.elapsed < 0.0:
             return Refused("elapsed: must be 0 or more seconds")
-        self.now += min(command.elapsed, MAX_TICK)
-        return Noted(self.keys.expire_claims(self.now))
+        self.now += min(command.elapsed, MAX_TICK_SECONDS)
+        return Applied(self.keys.expire_claims(self.now))
 
     def _finish(self, command: Finish) -> BillAnswer:
         scope = (command.workspace, command.key)
         bill = command.bill
         record = self.keys.records.get(scope)
-        if bill is not None and not _belongs(bill, scope):
+        if bill is not None and not _matches_scope(bill, scope):
             return BillAnswer(BillOutcome.INVALID, bill.request)
         if record is None:
             return self._finish_unknown_key(scope, bill)
@@ -259,9 +259,9 @@
             first = record.billed or record.request
             return BillAnswer(BillOutcome.DUPLICATE, first)
         if bill is None and command.answer is None:
-            self.keys.settle(scope, ClaimState.UNKNOWN, None)
+            self.keys.end_claim(scope, ClaimState.UNKNOWN, None)
             return BillAnswer(BillOutcome.RECORDED, record.request)
-        self.keys.settle(scope, ClaimState.DONE, command.answer)
+        self.keys.end_claim(scope, ClaimState.DONE, command.answer)
         if bill is None:
             return BillAnswer(BillOutcome.RECORDED, record.request)
         return self._bill_key(record, bill)
@@ -304,27 +304,27 @@
         if not is_valid(bill):
             return BillAnswer(BillOutcome.INVALID, bill.request)
         origin = parse_request_id(bill.request)
-        standing = self.bills.bills.get(bill.request)
-        if self.windows.mark(origin) is not Mark.SEEN or standing is None:
-            return Noted(0)
-        self.bills.remove(standing)
+        recorded = self.bills.bills.get(bill.request)
+        if self.windows.mark(origin) is not SequenceStatus.SEEN or recorded is None:
+            return Applied(0)
+        self.bills.remove(recorded)
         record = self.keys.records.get((bill.workspace, bill.key))
         if record is not None and record.billed == bill.request:
             record.billed = None
-        return Noted(1)
+        return Applied(1)
 
     def _bill_request(self, bill: Bill) -> BillAnswer:
         origin = parse_request_id(bill.request)
         if origin is None:
             return BillAnswer(BillOutcome.INVALID, bill.request)
         match self.windows.mark(origin):
-            case Mark.SEEN:
+            case SequenceStatus.SEEN:
                 return BillAnswer(BillOutcome.DUPLICATE, bill.request)
-            case Mark.PAST:
+            case SequenceStatus.PAST:
                 return BillAnswer(BillOutcome.EXPIRED, bill.request)
         self.bills.add(bill)
         return BillAnswer(BillOutcome.RECORDED, bill.request)
 
 
-def _belongs(bill: Bill, scope: Scope) -> bool:
+def _matches_scope(bill: Bill, scope: Scope) -> bool:
     return is_valid(bill) and (bill.workspace, bill.key) == scope
--- a/packages/core/src/bergamotwood_core/ledger_command.py
+++ b/packages/core/src/bergamotwood_core/ledger_command.py
@@ -14,7 +14,7 @@
 from bergamotwood_core.states import BillOutcome
 
 # Characters of a key, digest or token.
-MAX_FIELD = 256
+MAX_FIELD_CHARACTERS = 256
 
 
 class Attempt(Struct, frozen=True):
@@ -200,7 +200,7 @@
     reason: str
 
 
-class Noted(Struct, frozen=True, tag="noted"):
+class Applied(Struct, frozen=True, tag="noted"):
     """A release, abandonment or tick was applied.
 
     Parameters
@@ -230,7 +230,7 @@
 ClaimAnswer = (
     Granted | Held | Done | Unknown | Conflict | Expired | Full | Released | Refused
 )
-LedgerAnswer = ClaimAnswer | BillAnswer | Noted
+LedgerAnswer = ClaimAnswer | BillAnswer | Applied
 
 _ENCODER = Encoder()
 _COMMANDS: Decoder[LedgerCommand] = Decoder(LedgerCommand)
--- a/packages/core/src/bergamotwood_core/logentries.py
+++ b/packages/core/src/bergamotwood_core/logentries.py
@@ -40,7 +40,7 @@
     membership: Membership | None = None
 
 
-class Base(Struct, frozen=True, array_like=True, tag="base"):
+class LogStart(Struct, frozen=True, array_like=True, tag="base"):
     """Record: the log file begins after the snapshot of this index."""
 
     index: LogIndex
@@ -52,7 +52,7 @@
     replica: ReplicaId
 
 
-class Binding(Struct, frozen=True, array_like=True, tag="binding"):
+class JoinedGroup(Struct, frozen=True, array_like=True, tag="binding"):
     """Record: the group that the replica belongs to, for good."""
 
     genesis: Genesis
@@ -90,7 +90,7 @@
     data: bytes
 
 
-Record = Base | Identity | Binding | HardState | Entries
+Record = LogStart | Identity | JoinedGroup | HardState | Entries
 
 
 class SavedState(Struct, frozen=True):
--- a/packages/core/src/bergamotwood_core/logmessages.py
+++ b/packages/core/src/bergamotwood_core/logmessages.py
@@ -9,56 +9,56 @@
 from bergamotwood_core.membership import Genesis, Membership
 
 
-class Stamp(Struct, frozen=True, array_like=True):
+class FollowerTime(Struct, frozen=True, array_like=True):
     """A time on a follower's own clock, valid within one run of its process."""
 
     session: int
     at: Seconds
 
 
-NO_STAMP = Stamp(0, Seconds(0.0))
+NO_FOLLOWER_TIME = FollowerTime(0, Seconds(0.0))
 
 
-class Hello(Struct, frozen=True, array_like=True, tag=1):
+class JoinRequest(Struct, frozen=True, array_like=True, tag=1):
     """A replica that is not a member asks to join, or to form the group.
 
     Parameters
     ----------
     voters : tuple of InstanceId
         Initial voters in its settings.
-    bound : bool
+    in_group : bool
         Whether it belongs to a group already.
-    answers : ReplicaId
+    receiver : ReplicaId
         Identity that it last heard from the receiver.
-    answers_term : Term
+    receiver_term : Term
         Term in which the receiver last said that it leads.
     """
 
     voters: tuple[InstanceId, ...]
-    bound: bool
-    answers: ReplicaId
-    answers_term: Term
+    in_group: bool
+    receiver: ReplicaId
+    receiver_term: Term
 
 
-class Welcome(Struct, frozen=True, array_like=True, tag=2):
+class JoinReply(Struct, frozen=True, array_like=True, tag=2):
     """Answer of a member to `Hello`.
 
     Parameters
     ----------
     genesis : Genesis
         The group.
-    leads : bool
+    is_leader : bool
         Whether the sender leads it.
-    contacts : tuple of InstanceId
+    member_instances : tuple of InstanceId
         Where its members run now, as far as the sender knows.
     """
 
     genesis: Genesis
-    leads: bool
-    contacts: tuple[InstanceId, ...] = ()
+    is_leader: bool
+    member_instances: tuple[InstanceId, ...] = ()
 
 
-class PreVote(Struct, frozen=True, array_like=True, tag=3):
+class PreVoteRequest(Struct, frozen=True, array_like=True, tag=3):
     """Ask whether an election in a new term could be won."""
 
     proposed_term: Term
@@ -73,7 +73,7 @@
     granted: bool
 
 
-class Vote(Struct, frozen=True, array_like=True, tag=5):
+class VoteRequest(Struct, frozen=True, array_like=True, tag=5):
     """Ask for the vote of the message's term.
 
     Parameters
@@ -95,7 +95,7 @@
     granted: bool
 
 
-class Append(Struct, frozen=True, array_like=True, tag=7):
+class AppendRequest(Struct, frozen=True, array_like=True, tag=7):
     """Entries, or a heartbeat when there are none.
 
     Parameters
@@ -108,7 +108,7 @@
         Last committed entry.
     sent : Seconds
         Time on the leader's clock, returned in the reply.
-    echo : Stamp
+    echo : FollowerTime
         Newest stamp that the leader has from the receiver.
     age : float or None
         Seconds since the newest majority-confirmed round was sent.
@@ -119,7 +119,7 @@
     entries: tuple[Entry, ...]
     commit: LogIndex
     sent: Seconds
-    echo: Stamp
+    echo: FollowerTime
     age: float | None
 
 
@@ -136,7 +136,7 @@
         Last entry known to be equal, when accepted; else where to look next.
     sent : Seconds
         From the request.
-    stamp : Stamp
+    follower_time : FollowerTime
         Time on the follower's clock.
     """
 
@@ -144,7 +144,7 @@
     previous: LogIndex
     match: LogIndex
     sent: Seconds
-    stamp: Stamp
+    follower_time: FollowerTime
 
 
 class SnapshotPart(Struct, frozen=True, array_like=True, tag=9):
@@ -179,7 +179,7 @@
     index: LogIndex
     offset: int
     sent: Seconds
-    stamp: Stamp
+    follower_time: FollowerTime
 
 
 class StartElection(Struct, frozen=True, array_like=True, tag=11):
@@ -187,13 +187,13 @@
 
 
 Body = (
-    Hello
-    | Welcome
-    | PreVote
+    JoinRequest
+    | JoinReply
+    | PreVoteRequest
     | PreVoteReply
-    | Vote
+    | VoteRequest
     | VoteReply
-    | Append
+    | AppendRequest
     | AppendReply
     | SnapshotPart
     | SnapshotReply
--- a/packages/core/src/bergamotwood_core/reference.py
+++ b/packages/core/src/bergamotwood_core/reference.py
@@ -40,7 +40,7 @@
     yield from _find_key_faults(tables)
     for rollout in tables.rollouts.values():
         yield from _find_rollout_faults(tables, rollout)
-    yield from _find_rollout_clashes(tables)
+    yield from _find_rollout_conflicts(tables)
 
 
 def is_active(tables: ConfigurationTables, rollout: Rollout) -> bool:
@@ -136,14 +136,14 @@
 
 
 def _find_key_faults(tables: ConfigurationTables) -> Iterator[str]:
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for workspace in tables.workspaces.values():
         for key_hash in workspace.key_hashes:
-            holder = holders.setdefault(key_hash, workspace.name)
-            if holder != workspace.name:
+            owner = owners.setdefault(key_hash, workspace.name)
+            if owner != workspace.name:
                 yield (
                     f"workspace {workspace.name}: key hash {key_hash[:8]}... "
-                    f"belongs to workspace {holder}"
+                    f"belongs to workspace {owner}"
                 )
 
 
@@ -170,7 +170,7 @@
         yield f"{place}: candidate {rollout.candidate} is current already"
 
 
-def _find_rollout_clashes(tables: ConfigurationTables) -> Iterator[str]:
+def _find_rollout_conflicts(tables: ConfigurationTables) -> Iterator[str]:
     active = [
         rollout for rollout in tables.rollouts.values() if is_active(tables, rollout)
     ]
--- a/packages/core/src/bergamotwood_core/replica.py
+++ b/packages/core/src/bergamotwood_core/replica.py
@@ -2,17 +2,17 @@
 
 The driver calls `step`, `tick` and the others, takes the effects, and carries
 them out in their order before the next call. After the records are on disk it
-calls `note_saved`.
+calls `mark_synced`.
 """
 
 from random import Random
 
 from bergamotwood_core.bootstrap import (
-    answer_hello,
-    is_cut_off,
+    handle_join_reply,
+    handle_join_request,
     repair_membership,
-    send_hellos,
-    take_welcome,
+    request_join,
+    should_request_join,
 )
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.election import (
@@ -26,40 +26,40 @@
 )
 from bergamotwood_core.errors import NotLeaderError
 from bergamotwood_core.follower import (
-    refuse_old_leader,
-    take_append,
-    take_snapshot_part,
+    handle_append,
+    handle_snapshot_part,
+    reject_stale_leader,
 )
 from bergamotwood_core.ids import InstanceId, LogIndex, Term
 from bergamotwood_core.logentries import Entry, EntryLog, SavedState, Snapshot
 from bergamotwood_core.logmessages import (
-    Append,
     AppendReply,
-    Hello,
+    AppendRequest,
+    JoinReply,
+    JoinRequest,
     Message,
-    PreVote,
     PreVoteReply,
+    PreVoteRequest,
     SnapshotPart,
     SnapshotReply,
     StartElection,
-    Vote,
     VoteReply,
-    Welcome,
+    VoteRequest,
 )
 from bergamotwood_core.membership import Membership, MembershipChange
 from bergamotwood_core.replicastate import Effects, ReplicaSettings, ReplicaState, Role
 from bergamotwood_core.replication import (
+    advance_commit,
     append_commands,
     append_membership,
     broadcast,
     can_change_membership,
-    count_own_log,
-    count_reply,
-    count_snapshot_reply,
-    find_confirmed_round,
-    finish_hand_over,
-    hand_over,
+    complete_transfer,
+    find_quorum_contact,
+    handle_append_reply,
+    handle_snapshot_reply,
     has_committed_in_term,
+    transfer_leadership,
 )
 
 
@@ -90,11 +90,11 @@
     ) -> None:
         state = ReplicaState(settings, saved.replica, session, rng, _build_log(saved))
         state.genesis = saved.genesis
-        state.hard = saved.hard_state
+        state.hard_state = saved.hard_state
         state.snapshot = saved.snapshot
         state.commit = state.log.start
         # What it promised to a leader before the restart is not known.
-        state.heard_at = now
+        state.leader_heard_at = now
         state.delay_election(now)
         self.state = state
 
@@ -133,11 +133,11 @@
         """Take in a message of another replica."""
         state = self.state
         match message.body:
-            case Hello() as body:
-                answer_hello(state, message, body, now)
+            case JoinRequest() as body:
+                handle_join_request(state, message, body, now)
                 return
-            case Welcome() as body:
-                take_welcome(state, message, body, now)
+            case JoinReply() as body:
+                handle_join_reply(state, message, body, now)
                 return
         if state.genesis is None or message.genesis != state.genesis.id:
             return
@@ -149,13 +149,13 @@
     def tick(self, now: Seconds) -> None:
         """Let time pass; to be called several times in a heartbeat."""
         state = self.state
-        if is_cut_off(state, now):
-            send_hellos(state, now)
+        if should_request_join(state, now):
+            request_join(state, now)
         if state.role is Role.LEADER:
             self._lead(now)
             return
-        alone = state.membership.voters == (state.replica,)
-        if state.is_voter and (alone or now >= state.election_at):
+        is_only_voter = state.membership.voters == (state.replica,)
+        if state.is_voter and (is_only_voter or now >= state.election_at):
             start_pre_vote(state, now)
 
     def propose(self, commands: list[bytes], now: Seconds) -> LogIndex:
@@ -192,24 +192,24 @@
         append_membership(self.state, change)
         broadcast(self.state, now)
 
-    def note_saved(self, now: Seconds) -> None:
+    def mark_synced(self, now: Seconds) -> None:
         """Count the own log: all records taken so far are on disk."""
         leadership = self.state.leadership
         if leadership is None:
             return
-        leadership.saved = self.state.log.last_index
-        count_own_log(self.state, now)
+        leadership.synced_index = self.state.log.last_index
+        advance_commit(self.state, now)
 
-    def start_round(self, now: Seconds) -> None:
+    def send_heartbeats(self, now: Seconds) -> None:
         """Send a heartbeat now, when it leads."""
         if self.is_leader:
             broadcast(self.state, now)
 
-    def hand_over(self, now: Seconds) -> bool:
+    def transfer_leadership(self, now: Seconds) -> bool:
         """Give the lease up and hand leadership over; False when it cannot."""
         if not self.is_leader:
             return False
-        return hand_over(self.state, now)
+        return transfer_leadership(self.state, now)
 
     def compact(self, index: LogIndex, data: bytes, kept: int) -> Snapshot:
         """Replace the log up to an applied index by a snapshot.
@@ -244,7 +244,7 @@
         lease = state.settings.lease_seconds
         if now < leadership.elected_at + lease or not has_committed_in_term(state):
             return False
-        return now < find_confirmed_round(state, now) + lease
+        return now < find_quorum_contact(state, now) + lease
 
     def _check_leader(self) -> None:
         leadership = self.state.leadership
@@ -255,37 +255,37 @@
         state = self.state
         body = message.body
         if message.term > state.term:
-            if isinstance(body, PreVote):
+            if isinstance(body, PreVoteRequest):
                 return True
-            if isinstance(body, Vote) and refuses_election(state, body, now):
+            if isinstance(body, VoteRequest) and refuses_election(state, body, now):
                 return False
             state.become_follower(message.term, now)
             return True
         if message.term == state.term:
             return True
         match body:
-            case Append() | SnapshotPart():
-                refuse_old_leader(state, message, body, now)
-            case PreVote() | PreVoteReply(granted=True):
+            case AppendRequest() | SnapshotPart():
+                reject_stale_leader(state, message, body, now)
+            case PreVoteRequest() | PreVoteReply(granted=True):
                 return True
         return False
 
     def _dispatch(self, message: Message, now: Seconds) -> None:
         state = self.state
         match message.body:
-            case Append() as body:
-                take_append(state, message, body, now)
+            case AppendRequest() as body:
+                handle_append(state, message, body, now)
             case AppendReply() as body:
-                count_reply(state, message, body, now)
+                handle_append_reply(state, message, body, now)
             case SnapshotPart() as body:
-                take_snapshot_part(state, message, body, now)
+                handle_snapshot_part(state, message, body, now)
             case SnapshotReply() as body:
-                count_snapshot_reply(state, message, body, now)
-            case PreVote() as body:
+                handle_snapshot_reply(state, message, body, now)
+            case PreVoteRequest() as body:
                 answer_pre_vote(state, message, body, now)
             case PreVoteReply() as body:
                 count_pre_vote(state, message, body, now)
-            case Vote() as body:
+            case VoteRequest() as body:
                 answer_vote(state, message, body, now)
             case VoteReply() as body:
                 count_vote(state, message, body, now)
@@ -295,15 +295,17 @@
     def _lead(self, now: Seconds) -> None:
         state = self.state
         leadership = state.leadership
-        confirmed = max(find_confirmed_round(state, now), leadership.elected_at)
+        confirmed = max(find_quorum_contact(state, now), leadership.elected_at)
         lost = now > confirmed + state.settings.election_seconds
-        late = leadership.transfer_to is not None and now > leadership.transfer_until
-        if lost or late:
+        transfer_timed_out = (
+            leadership.transfer_to is not None and now > leadership.transfer_until
+        )
+        if lost or transfer_timed_out:
             state.become_follower(state.term, now)
             return
-        count_own_log(state, now)
+        advance_commit(state, now)
         if leadership.transfer_to is not None:
-            finish_hand_over(state, now)
+            complete_transfer(state, now)
         repair_membership(state, now)
         if now >= leadership.next_heartbeat:
             broadcast(state, now)
--- a/packages/core/src/bergamotwood_core/replicastate.py
+++ b/packages/core/src/bergamotwood_core/replicastate.py
@@ -9,15 +9,15 @@
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import InstanceId, LogIndex, ReplicaId, Term
 from bergamotwood_core.logentries import (
-    Binding,
     Entries,
     Entry,
     EntryLog,
     HardState,
+    JoinedGroup,
     Record,
     Snapshot,
 )
-from bergamotwood_core.logmessages import Body, Message, Stamp
+from bergamotwood_core.logmessages import Body, FollowerTime, Message
 from bergamotwood_core.membership import Genesis, Member, Membership
 from bergamotwood_core.progress import NEVER, Leadership
 
@@ -91,7 +91,7 @@
 
     Parameters
     ----------
-    eager : list of Outgoing
+    immediate : list of Outgoing
         Messages that may be sent at once.
     records : list of Record or Snapshot
         To be synced to disk, in order, before anything below.
@@ -104,7 +104,7 @@
         time of the driver's clock is applied.
     """
 
-    eager: list[Outgoing] = field(default_factory=list)
+    immediate: list[Outgoing] = field(default_factory=list)
     records: list[Record | Snapshot] = field(default_factory=list)
     messages: list[Outgoing] = field(default_factory=list)
     outputs: list[Entry | Snapshot] = field(default_factory=list)
@@ -115,7 +115,7 @@
 class IncomingSnapshot:
     """Parts received so far of a snapshot of this index, term and size."""
 
-    wanted: tuple[LogIndex, Term, int]
+    key: tuple[LogIndex, Term, int]
     data: bytearray = field(default_factory=bytearray)
 
 
@@ -137,7 +137,7 @@
         Entries in memory.
     genesis : Genesis or None
         Its group, None before it belongs to one.
-    hard : HardState
+    hard_state : HardState
         Term and vote.
     snapshot : Snapshot or None
         Newest snapshot.
@@ -147,11 +147,11 @@
         Who leads its term, as far as known.
     commit : LogIndex
         Last entry known to be committed.
-    heard_at : Seconds
+    leader_heard_at : Seconds
         When it last heard the leader, or started.
     election_at : Seconds
         When it starts an election if it hears nothing.
-    hello_at : Seconds
+    join_retry_at : Seconds
         When it asks next to join.
     votes : set of ReplicaId
         Granted to it in this (pre-)election.
@@ -161,13 +161,13 @@
         As in `Effects`.
     incoming : IncomingSnapshot or None
         While it receives one.
-    heard_identity : dict
+    known_identities : dict
         Identity last heard from each instance, before it is a member.
-    heard_leader : tuple of (ReplicaId, Term)
+    known_leader : tuple of (ReplicaId, Term)
         The leader that welcomed it last.
-    greetings : dict
+    waiting_identities : dict
         Identities of instances that wait for the group to be formed.
-    contacts : set of InstanceId
+    known_instances : set of InstanceId
         Instances of members, as other replicas named them.
     effects : Effects
         Collected since the driver last took them.
@@ -179,28 +179,28 @@
     rng: Random
     log: EntryLog
     genesis: Genesis | None = None
-    hard: HardState = HardState()
+    hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
     role: Role = Role.FOLLOWER
     leader: Member | None = None
     commit: LogIndex = LogIndex(0)
-    heard_at: Seconds = NEVER
+    leader_heard_at: Seconds = NEVER
     election_at: Seconds = NEVER
-    hello_at: Seconds = NEVER
+    join_retry_at: Seconds = NEVER
     votes: set[ReplicaId] = field(default_factory=set)
     leadership: Leadership | None = None
     confirmed_at: Seconds = NEVER
     incoming: IncomingSnapshot | None = None
-    heard_identity: dict[InstanceId, ReplicaId] = field(default_factory=dict)
-    heard_leader: tuple[ReplicaId, Term] = (ReplicaId(""), Term(0))
-    greetings: dict[InstanceId, ReplicaId] = field(default_factory=dict)
-    contacts: set[InstanceId] = field(default_factory=set)
+    known_identities: dict[InstanceId, ReplicaId] = field(default_factory=dict)
+    known_leader: tuple[ReplicaId, Term] = (ReplicaId(""), Term(0))
+    waiting_identities: dict[InstanceId, ReplicaId] = field(default_factory=dict)
+    known_instances: set[InstanceId] = field(default_factory=set)
     effects: Effects = field(default_factory=Effects)
 
     @property
     def term(self) -> Term:
         """Newest term."""
-        return self.hard.term
+        return self.hard_state.term
 
     @property
     def membership(self) -> Membership:
@@ -212,9 +212,9 @@
         """Whether it counts for majorities."""
         return self.membership.is_voter(self.replica)
 
-    def get_stamp(self, now: Seconds) -> Stamp:
+    def get_time(self, now: Seconds) -> FollowerTime:
         """Return the time on its own clock, for a leader to echo."""
-        return Stamp(self.session, now)
+        return FollowerTime(self.session, now)
 
     def build_message(self, target: ReplicaId, body: Body) -> Message:
         """Return a message from this replica."""
@@ -228,24 +228,24 @@
         message = self.build_message(target, body)
         self.effects.messages.append(Outgoing(instance, message))
 
-    def send_eagerly(self, member: Member, body: Body) -> None:
+    def send_immediately(self, member: Member, body: Body) -> None:
         """Send without waiting for the disk, if the term is there already."""
         if any(isinstance(record, HardState) for record in self.effects.records):
             self.send(member.instance, member.replica, body)
             return
         message = self.build_message(member.replica, body)
-        self.effects.eager.append(Outgoing(member.instance, message))
+        self.effects.immediate.append(Outgoing(member.instance, message))
 
-    def save_hard_state(self, hard: HardState) -> None:
+    def save_hard_state(self, hard_state: HardState) -> None:
         """Set term and vote, on disk too."""
-        self.hard = hard
-        self.effects.records.append(hard)
+        self.hard_state = hard_state
+        self.effects.records.append(hard_state)
 
-    def bind(self, genesis: Genesis) -> None:
+    def join_group(self, genesis: Genesis) -> None:
         """Join a group for good."""
         self.genesis = genesis
         self.log = EntryLog(LogIndex(0), Term(0), genesis.membership)
-        self.effects.records.append(Binding(genesis))
+        self.effects.records.append(JoinedGroup(genesis))
 
     def append_entries(self, entries: tuple[Entry, ...]) -> None:
         """Add entries to the log, on disk too."""
@@ -258,9 +258,9 @@
         timeout = self.settings.election_seconds
         self.election_at = Seconds(now + timeout * (1.0 + self.rng.random()))
 
-    def hears_leader(self, now: Seconds) -> bool:
+    def has_recent_leader(self, now: Seconds) -> bool:
         """Whether it has promised a leader not to take part in an election."""
-        return now < self.heard_at + self.settings.election_seconds
+        return now < self.leader_heard_at + self.settings.election_seconds
 
     def become_follower(self, term: Term, now: Seconds) -> None:
         """Follow in a term, with no leader known yet."""
--- a/packages/core/src/bergamotwood_core/replication.py
+++ b/packages/core/src/bergamotwood_core/replication.py
@@ -4,8 +4,8 @@
 from bergamotwood_core.ids import LogIndex, ReplicaId
 from bergamotwood_core.logentries import Entry, EntryKind
 from bergamotwood_core.logmessages import (
-    Append,
     AppendReply,
+    AppendRequest,
     Message,
     SnapshotPart,
     SnapshotReply,
@@ -26,7 +26,7 @@
     state.role = Role.LEADER
     state.leader = state.membership.find(state.replica)
     first = LogIndex(state.log.last_index + 1)
-    state.leadership = Leadership(now, first, saved=state.log.last_index)
+    state.leadership = Leadership(now, first, synced_index=state.log.last_index)
     state.append_entries((Entry(first, state.term, EntryKind.NOOP),))
     broadcast(state, now)
 
@@ -69,7 +69,7 @@
     """Send each other member what it lacks, or a heartbeat."""
     leadership = state.leadership
     leadership.next_heartbeat = Seconds(now + state.settings.heartbeat_seconds)
-    _match_progress_to_members(state)
+    _update_progress_members(state)
     for member in state.membership.members:
         if member.replica != state.replica:
             send_append(state, member, now)
@@ -83,54 +83,54 @@
         progress.snapshot = state.snapshot
         progress.offset = 0
     if progress.probing or progress.snapshot is not None:
-        if now < progress.quiet_until:
+        if now < progress.resend_at:
             return
-        progress.quiet_until = Seconds(now + state.settings.heartbeat_seconds / 2)
+        progress.resend_at = Seconds(now + state.settings.heartbeat_seconds / 2)
     if progress.snapshot is not None:
         _send_snapshot_part(state, member, progress, now)
         return
     _send_entries(state, member, progress, now)
 
 
-def count_reply(
+def handle_append_reply(
     state: ReplicaState, message: Message, body: AppendReply, now: Seconds
 ) -> None:
     """Take in an answer to `Append`."""
     progress = _find_progress(state, message.sender)
     if progress is None:
         return
-    _note_reply(progress, body, now)
+    _record_reply(progress, body, now)
     if body.accepted:
-        _advance(progress, body.match)
-    elif not _retreat(progress, body):
+        _raise_match(progress, body.match)
+    elif not _lower_next(progress, body):
         return
-    count_own_log(state, now)
+    advance_commit(state, now)
     member = state.membership.find(message.sender)
     behind = progress.next <= state.log.last_index
     if member is not None and state.leadership is not None and behind:
         send_append(state, member, now)
 
 
-def count_snapshot_reply(
+def handle_snapshot_reply(
     state: ReplicaState, message: Message, body: SnapshotReply, now: Seconds
 ) -> None:
     """Send the next part of a snapshot."""
     progress = _find_progress(state, message.sender)
     if progress is None:
         return
-    _note_reply(progress, body, now)
-    count_own_log(state, now)
+    _record_reply(progress, body, now)
+    advance_commit(state, now)
     snapshot = progress.snapshot
     if snapshot is None or snapshot.index != body.index:
         return
     if progress.offset == body.offset:
         return
     progress.offset = body.offset
-    progress.quiet_until = NEVER
+    progress.resend_at = NEVER
     send_append(state, state.membership.find(message.sender), now)
 
 
-def count_own_log(state: ReplicaState, now: Seconds) -> None:
+def advance_commit(state: ReplicaState, now: Seconds) -> None:
     """Commit what a majority has, and note the confirmed round."""
     leadership = state.leadership
     index = _find_majority_match(state)
@@ -141,10 +141,10 @@
             state.become_follower(state.term, now)
             return
     if has_committed_in_term(state) and leadership is state.leadership:
-        state.confirm(find_confirmed_round(state, now))
+        state.confirm(find_quorum_contact(state, now))
 
 
-def find_confirmed_round(state: ReplicaState, now: Seconds) -> Seconds:
+def find_quorum_contact(state: ReplicaState, now: Seconds) -> Seconds:
     """Return when the newest round was sent that a majority acknowledged."""
     progress = state.leadership.progress
     times = []
@@ -152,11 +152,11 @@
         if voter == state.replica:
             times.append(now)
         else:
-            times.append(progress[voter].acked_sent if voter in progress else NEVER)
+            times.append(progress[voter].acked_sent_at if voter in progress else NEVER)
     return Seconds(find_majority_value(times))
 
 
-def hand_over(state: ReplicaState, now: Seconds) -> bool:
+def transfer_leadership(state: ReplicaState, now: Seconds) -> bool:
     """Begin to hand over to the voter that has most of the log.
 
     Returns
@@ -175,11 +175,11 @@
         return False
     leadership.transfer_to = max(ready)[1]
     leadership.transfer_until = Seconds(now + timeout)
-    finish_hand_over(state, now)
+    complete_transfer(state, now)
     return True
 
 
-def finish_hand_over(state: ReplicaState, now: Seconds) -> None:
+def complete_transfer(state: ReplicaState, now: Seconds) -> None:
     """Let the chosen voter stand for election once it has the whole log."""
     leadership = state.leadership
     target = leadership.transfer_to
@@ -194,17 +194,17 @@
 ) -> None:
     previous = LogIndex(progress.next - 1)
     entries = _choose_entries(state, progress)
-    body = Append(
+    body = AppendRequest(
         previous,
         state.log.find_term(previous),
         entries,
         state.commit,
         now,
-        progress.stamp,
-        _find_age(state, now),
+        progress.follower_time,
+        _measure_age(state, now),
     )
     progress.next = LogIndex(progress.next + len(entries))
-    state.send_eagerly(member, body)
+    state.send_immediately(member, body)
 
 
 def _send_snapshot_part(
@@ -221,7 +221,7 @@
         len(snapshot.data),
         now,
     )
-    state.send_eagerly(member, body)
+    state.send_immediately(member, body)
 
 
 def _choose_entries(state: ReplicaState, progress: Progress) -> tuple[Entry, ...]:
@@ -239,13 +239,13 @@
         progress.next = LogIndex(progress.match + 1)
 
 
-def _find_age(state: ReplicaState, now: Seconds) -> float | None:
+def _measure_age(state: ReplicaState, now: Seconds) -> float | None:
     if state.confirmed_at == NEVER:
         return None
     return now - state.confirmed_at
 
 
-def _match_progress_to_members(state: ReplicaState) -> None:
+def _update_progress_members(state: ReplicaState) -> None:
     progress = state.leadership.progress
     members = {member.replica for member in state.membership.members}
     for replica in set(progress) - members:
@@ -260,16 +260,16 @@
     return state.leadership.progress.get(replica)
 
 
-def _note_reply(
+def _record_reply(
     progress: Progress, body: AppendReply | SnapshotReply, now: Seconds
 ) -> None:
     progress.acked_at = now
-    if body.sent > progress.acked_sent:
-        progress.acked_sent = body.sent
-        progress.stamp = body.stamp
+    if body.sent > progress.acked_sent_at:
+        progress.acked_sent_at = body.sent
+        progress.follower_time = body.follower_time
 
 
-def _advance(progress: Progress, match: LogIndex) -> None:
+def _raise_match(progress: Progress, match: LogIndex) -> None:
     progress.match = max(progress.match, match)
     progress.next = max(progress.next, LogIndex(progress.match + 1))
     progress.probing = False
@@ -277,13 +277,13 @@
         progress.snapshot = None
 
 
-def _retreat(progress: Progress, body: AppendReply) -> bool:
+def _lower_next(progress: Progress, body: AppendReply) -> bool:
     if body.previous <= progress.match or progress.snapshot is not None:
         return False
     if progress.probing and body.previous != progress.next - 1:
         return False
     progress.probing = True
-    progress.quiet_until = NEVER
+    progress.resend_at = NEVER
     progress.next = LogIndex(
         max(progress.match, min(body.match, body.previous - 1)) + 1
     )
@@ -295,7 +295,7 @@
     matches = []
     for voter in state.membership.voters:
         if voter == state.replica:
-            matches.append(leadership.saved)
+            matches.append(leadership.synced_index)
         else:
             held = leadership.progress.get(voter)
             matches.append(held.match if held else 0)
--- a/packages/core/src/bergamotwood_core/ticket.py
+++ b/packages/core/src/bergamotwood_core/ticket.py
@@ -108,7 +108,7 @@
     tuple of str
         Every fault with its place; empty if the ticket may be applied.
     """
-    faults = [*_find_own_faults(ticket), *_find_removal_faults(tables, ticket)]
+    faults = [*_find_internal_faults(ticket), *_find_removal_faults(tables, ticket)]
     faults.extend(_find_rollout_faults(tables, ticket))
     faults.extend(_find_new_faults(tables, ticket))
     return tuple(faults[:MAX_FAULTS])
@@ -143,7 +143,7 @@
     return kept is not None and kept.state is VersionState.SERVING
 
 
-def _find_own_faults(ticket: Ticket) -> Iterator[str]:
+def _find_internal_faults(ticket: Ticket) -> Iterator[str]:
     for kind in KINDS:
         names = [item.name for item in getattr(ticket, kind)]
         removed = getattr(ticket.remove, kind)
@@ -171,31 +171,31 @@
 
 def _find_rollout_faults(tables: ConfigurationTables, ticket: Ticket) -> Iterator[str]:
     models = {model.key: model for model in ticket.models}
-    settled = {rollout.name for rollout in ticket.rollouts}
-    settled.update(ticket.remove.rollouts)
+    named = {rollout.name for rollout in ticket.rollouts}
+    named.update(ticket.remove.rollouts)
     for rollout in ticket.rollouts:
         model = models.get(rollout.model)
         if model and rollout.state is RolloutState.STOPPED:
             yield from _check_stopped(model, rollout)
     for rollout in tables.rollouts.values():
         model = models.get(rollout.model)
-        if model and rollout.name not in settled:
-            yield from _check_agreement(tables, model, rollout)
+        if model and rollout.name not in named:
+            yield from _check_unnamed_rollout(tables, model, rollout)
 
 
-def _check_agreement(
+def _check_unnamed_rollout(
     tables: ConfigurationTables, model: Model, rollout: Rollout
 ) -> Iterator[str]:
     state = tables.progress[rollout.key].state
     hint = f"name or remove roll-out {rollout.name} in the same ticket"
-    present = tables.models[model.key].current
+    current = tables.models[model.key].current
     if state is RolloutState.STOPPED:
         yield from _check_stopped(model, rollout)
         return
-    if model.current != present:
+    if model.current != current:
         yield (
             f"model {model.name}: current {model.current} would undo roll-out "
-            f"{rollout.name} ({state}, current {present}); {hint}"
+            f"{rollout.name} ({state}, current {current}); {hint}"
         )
     listed = any(version.id == rollout.candidate for version in model.versions)
     if state in ACTIVE_STATES and not listed:
--- a/packages/core/src/bergamotwood_core/watermark.py
+++ b/packages/core/src/bergamotwood_core/watermark.py
@@ -14,7 +14,7 @@
 MAX_INSTANCES = 1_024
 
 
-class Mark(Enum):
+class SequenceStatus(Enum):
     """What a window says of a sequence number."""
 
     NEW = "new"
@@ -64,19 +64,19 @@
     floor: int = 0
     seen: int = 0
 
-    def mark(self, sequence: Sequence) -> Mark:
+    def mark(self, sequence: Sequence) -> SequenceStatus:
         """Mark a number as seen, and tell whether it was."""
         if sequence < self.floor:
-            return Mark.PAST
+            return SequenceStatus.PAST
         excess = sequence - self.floor - WINDOW_SIZE + 1
         if excess > 0:
             self.floor += excess
             self.seen >>= excess
         bit = 1 << (sequence - self.floor)
         if self.seen & bit:
-            return Mark.SEEN
+            return SequenceStatus.SEEN
         self.seen |= bit
-        return Mark.NEW
+        return SequenceStatus.NEW
 
 
 class StoredWindow(Struct, frozen=True):
@@ -88,46 +88,46 @@
     seen: bytes
 
 
-Starts = dict[Incarnation, SequenceWindow]
+IncarnationWindows = dict[Incarnation, SequenceWindow]
 
 
 class WindowTable:
-    """Windows of the newest starts of each instance."""
+    """Windows of the newest incarnations of each instance."""
 
     def __init__(self) -> None:
-        self.windows: OrderedDict[InstanceId, Starts] = OrderedDict()
+        self.windows: OrderedDict[InstanceId, IncarnationWindows] = OrderedDict()
 
-    def mark(self, origin: RequestOrigin) -> Mark:
+    def mark(self, origin: RequestOrigin) -> SequenceStatus:
         """Mark a request as seen, and tell whether it was."""
-        starts = self.windows.setdefault(origin.instance, {})
+        windows = self.windows.setdefault(origin.instance, {})
         self.windows.move_to_end(origin.instance)
         if len(self.windows) > MAX_INSTANCES:
             self.windows.popitem(last=False)
-        window = starts.get(origin.incarnation)
+        window = windows.get(origin.incarnation)
         if window is not None:
             return window.mark(origin.sequence)
-        if len(starts) >= MAX_INCARNATIONS:
-            oldest = min(starts)
+        if len(windows) >= MAX_INCARNATIONS:
+            oldest = min(windows)
             if origin.incarnation < oldest:
-                return Mark.PAST
-            del starts[oldest]
-        window = starts[origin.incarnation] = SequenceWindow()
+                return SequenceStatus.PAST
+            del windows[oldest]
+        window = windows[origin.incarnation] = SequenceWindow()
         return window.mark(origin.sequence)
 
     def dump(self) -> list[StoredWindow]:
         """List the windows in the order of the table."""
         return [
             _dump_window(instance, incarnation, window)
-            for instance, starts in self.windows.items()
-            for incarnation, window in starts.items()
+            for instance, windows in self.windows.items()
+            for incarnation, window in windows.items()
         ]
 
     def load(self, stored: list[StoredWindow]) -> None:
         """Fill an empty table in the same order."""
         for item in stored:
             window = SequenceWindow(item.floor, int.from_bytes(item.seen, "little"))
-            starts = self.windows.setdefault(item.instance, {})
-            starts[item.incarnation] = window
+            windows = self.windows.setdefault(item.instance, {})
+            windows[item.incarnation] = window
 
 
 def _dump_window(
--- a/packages/ctl/src/bergamotctl/bills.py
+++ b/packages/ctl/src/bergamotctl/bills.py
@@ -8,7 +8,7 @@
 from bergamotctl.client import Client
 from bergamotctl.context import json_option, leave_on_error
 from bergamotctl.output import print_json, print_table
-from bergamotwood_core.bill_table import BILLIONTHS
+from bergamotwood_core.bill_table import BILLIONTHS_PER_UNIT
 
 
 @group()
@@ -126,5 +126,5 @@
         item["attempts"],
         item["prompt_tokens"],
         item["output_tokens"],
-        item["cost_billionths"] / BILLIONTHS,
+        item["cost_billionths"] / BILLIONTHS_PER_UNIT,
     )
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -265,7 +265,7 @@
             When no majority confirms it in time.
         """
         asked_at = self._clock()
-        self._call(lambda replica, now: replica.start_round(now))
+        self._call(lambda replica, now: replica.send_heartbeats(now))
         limit = asked_at + timeout
         while self._confirmed_at < asked_at:
             self._check_running()
@@ -294,7 +294,7 @@
             )
 
     def _hand_over(self) -> None:
-        started = self._call(lambda replica, now: replica.hand_over(now))
+        started = self._call(lambda replica, now: replica.transfer_leadership(now))
         limit = self._clock() + self._settings.election_seconds
         while started and self.is_leader and self._clock() < limit:
             self._progressed.wait(self._settings.tick_seconds)
@@ -344,7 +344,7 @@
             replica.tick(now)
         self._append(proposals, now)
         self._carry_out(replica.take_effects())
-        replica.note_saved(self._clock())
+        replica.mark_synced(self._clock())
         self._carry_out(replica.take_effects())
         self._compact()
         self._announce_progress()
@@ -364,7 +364,7 @@
             self._waiters.add(LogIndex(first + at), self._replica.term, proposal)
 
     def _carry_out(self, effects: Effects) -> None:
-        self._send(effects.eager)
+        self._send(effects.immediate)
         if effects.records:
             self._save(effects.records)
         self._send(effects.messages)
--- a/packages/daemon/src/bergamotwood_daemon/journal.py
+++ b/packages/daemon/src/bergamotwood_daemon/journal.py
@@ -31,12 +31,12 @@
 from bergamotwood_core.errors import LogCorruptError, SettingsError
 from bergamotwood_core.ids import LogIndex, ReplicaId
 from bergamotwood_core.logentries import (
-    Base,
-    Binding,
     Entries,
     Entry,
     HardState,
     Identity,
+    JoinedGroup,
+    LogStart,
     Record,
     SavedState,
     Snapshot,
@@ -223,7 +223,7 @@
 
     def _take_record(self, record: Record, entries: list[Entry]) -> None:
         match record:
-            case Base(index):
+            case LogStart(index):
                 if index > self._snapshot_index:
                     raise LogCorruptError(f"{self._folder}: the snapshot is missing")
             case Entries(added):
@@ -235,7 +235,7 @@
         match record:
             case Identity():
                 self._identity = record
-            case Binding(genesis):
+            case JoinedGroup(genesis):
                 self._genesis = genesis
             case HardState():
                 self._hard = record
@@ -256,9 +256,9 @@
             self._remember(record)
 
     def _begin_log(self, tail: tuple[Entry, ...]) -> None:
-        records: list[Record] = [Base(self._snapshot_index), self._identity]
+        records: list[Record] = [LogStart(self._snapshot_index), self._identity]
         if self._genesis is not None:
-            records.append(Binding(self._genesis))
+            records.append(JoinedGroup(self._genesis))
         records.append(self._hard)
         if tail:
             records.append(Entries(tail))
--- a/tests/core/ledgercluster.py
+++ b/tests/core/ledgercluster.py
@@ -6,6 +6,7 @@
 from core.logcluster import Cluster, InvariantError
 
 from bergamotwood_core.ledger import (
+    Applied,
     Attempt,
     Bill,
     BillAnswer,
@@ -14,7 +15,6 @@
     Finish,
     Granted,
     LedgerMachine,
-    Noted,
     Release,
     StoredAnswer,
     Unknown,
@@ -69,7 +69,7 @@
             raise InvariantError(f"two answers to entry {entry.index}")
         caller = self.waiting.pop((node.instance, entry.index, entry.term), None)
         if caller is not None:
-            self._hear(caller, decode_answer(answer))
+            self._handle_answer(caller, decode_answer(answer))
 
     def snapshot(self, node):
         return self.machines[node.instance].snapshot()
@@ -112,18 +112,18 @@
         answer = StoredAnswer(200, "text/plain", b"")
         return Finish(WORKSPACE, caller.key, caller.token, answer, bill)
 
-    def _hear(self, caller, answer):
+    def _handle_answer(self, caller, answer):
         match caller.state, answer:
             case "asking", Granted():
                 self._dispatch(caller)
             case "asking", Done() | Unknown():
-                self._leave(caller)
-            case "given_up", Noted():
-                self._leave(caller)
+                self._remove_caller(caller)
+            case "given_up", Applied():
+                self._remove_caller(caller)
             case "dispatched", BillAnswer():
-                self._leave(caller)
+                self._remove_caller(caller)
 
-    def _leave(self, caller):
+    def _remove_caller(self, caller):
         if caller in self.callers:
             self.callers.remove(caller)
 
--- a/tests/core/logcheck.py
+++ b/tests/core/logcheck.py
@@ -32,7 +32,7 @@
     try:
         cluster.run(steps)
         reached = len(cluster.committed)
-        cluster.settle(seconds)
+        cluster.heal_and_run(seconds)
     except InvariantError as error:
         raise click.ClickException(f"{name}: {error}")
     if len(cluster.committed) == reached:
@@ -56,7 +56,7 @@
         seed,
         spares=lost_at_once,
         lost_at_once=lost_at_once,
-        power_losses=0.05 if seed % 4 < 2 else 0.0,
+        power_loss_share=0.05 if seed % 4 < 2 else 0.0,
     )
     drive(cluster, steps, 20.0, f"open group, seed {seed}")
 
--- a/tests/core/logcluster.py
+++ b/tests/core/logcluster.py
@@ -11,11 +11,11 @@
 from bergamotwood_core.errors import NotLeaderError
 from bergamotwood_core.ids import InstanceId, ReplicaId
 from bergamotwood_core.logentries import (
-    Binding,
     Entries,
     Entry,
     EntryKind,
     HardState,
+    JoinedGroup,
     SavedState,
     Snapshot,
 )
@@ -35,7 +35,7 @@
 
     replica: ReplicaId
     genesis: object = None
-    hard: HardState = HardState()
+    hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: list[Entry] = field(default_factory=list)
 
@@ -43,8 +43,8 @@
         for record in records:
             match record:
                 case HardState():
-                    self.hard = record
-                case Binding(genesis):
+                    self.hard_state = record
+                case JoinedGroup(genesis):
                     self.genesis = genesis
                 case Entries(added):
                     first = added[0].index
@@ -59,7 +59,11 @@
 
     def load(self):
         return SavedState(
-            self.replica, self.genesis, self.hard, self.snapshot, tuple(self.entries)
+            self.replica,
+            self.genesis,
+            self.hard_state,
+            self.snapshot,
+            tuple(self.entries),
         )
 
 
@@ -88,13 +92,15 @@
     snapshot_entries = 25
     kept_entries = 5
 
-    def __init__(self, seed, size=3, keep_identity=False, faults=True, first=None):
+    def __init__(
+        self, seed, size=3, keep_identity=False, faults=True, initial_size=None
+    ):
         self.rng = Random(seed)
         self.now = 100.0
         self.keep_identity = keep_identity
         self.faults = faults
         self.names = tuple(InstanceId(f"i{at}") for at in range(size))
-        self.listed = self.names[:first]
+        self.configured = self.names[:initial_size]
         self.network: list[tuple[InstanceId, InstanceId, bytes]] = []
         self.blocked: set[tuple[InstanceId, InstanceId]] = set()
         self.committed: list[Entry] = []
@@ -120,7 +126,7 @@
             if self.network:
                 self._deliver()
         node = self.nodes[self.rng.choice(self.names)]
-        if node.instance not in self.listed:
+        if node.instance not in self.configured:
             return
         if node.replica is None:
             if self.rng.random() < 0.03 or not self.faults:
@@ -141,7 +147,7 @@
     def make_settings(self, node):
         return ReplicaSettings(
             node.instance,
-            self.listed,
+            self.configured,
             append_bytes=self.append_bytes,
             append_entries_ahead=20,
             snapshot_part_bytes=self.part_bytes,
@@ -212,7 +218,7 @@
     def carry_out(self, node):
         """Take the effects: early messages go, the rest waits for the disk."""
         node.unsynced = node.replica.take_effects()
-        self._send(node, node.unsynced.eager)
+        self._send(node, node.unsynced.immediate)
 
     def sync(self, node):
         """Finish what waits for the disk."""
@@ -223,13 +229,13 @@
             for output in effects.outputs:
                 self._apply(node, output)
             node.confirmed_at = max(node.confirmed_at, effects.confirmed_at)
-            node.replica.note_saved(self.clock(node))
+            node.replica.mark_synced(self.clock(node))
             self.carry_out(node)
         node.unsynced = None
         self._compact(node)
         self.check(node)
 
-    def work(self, node, action):
+    def run_action(self, node, action):
         """Do one thing on a node and carry it out whole."""
         action(node)
         self.carry_out(node)
@@ -243,7 +249,7 @@
         while not node.replica.is_leader:
             self.now += 5.0
             node.replica.state.election_at = NEVER
-            self.work(node, self.tick)
+            self.run_action(node, self.tick)
             self.exchange(names, lambda: node.replica.is_leader)
         self.network.clear()
 
@@ -254,15 +260,17 @@
             if source in names and target in names:
                 message = decode_message(body)
                 node = self.nodes[target]
-                self.work(node, lambda n, m=message: n.replica.step(m, self.clock(n)))
+                self.run_action(
+                    node, lambda n, m=message: n.replica.step(m, self.clock(n))
+                )
 
-    def start_round(self, node):
+    def send_heartbeats(self, node):
         self.now += 1.0
-        self.work(node, lambda n: n.replica.start_round(self.clock(n)))
+        self.run_action(node, lambda n: n.replica.send_heartbeats(self.clock(n)))
 
-    def grow(self):
+    def configure_all(self):
         """Name all instances in the settings, and start them anew."""
-        self.listed = self.names
+        self.configured = self.names
         self.restart_all()
 
     def restart_all(self):
@@ -272,7 +280,7 @@
             self.start(node)
         self.network.clear()
 
-    def settle(self, seconds):
+    def heal_and_run(self, seconds):
         """Heal everything, and run without faults."""
         self.faults = False
         self.blocked.clear()
@@ -346,7 +354,7 @@
     def _make_node(self, name):
         offset = self.rng.random() * 1000.0
         node = Node(name, Disk(ReplicaId(f"{name}-0")), offset)
-        if name in self.listed:
+        if name in self.configured:
             self.start(node)
         return node
 
@@ -395,7 +403,7 @@
             self.blocked.clear()
         elif kind < 0.95:
             if node.replica is not None and node.unsynced is None:
-                node.replica.hand_over(self.clock(node))
+                node.replica.transfer_leadership(self.clock(node))
                 self.carry_out(node)
         elif self._may_lose_disk(node):
             self.lose_disk(node)
--- a/tests/core/opencluster.py
+++ b/tests/core/opencluster.py
@@ -23,7 +23,7 @@
         Instances beside the initial voters.
     lost_at_once : int
         Instances that may be without their disk at the same time.
-    power_losses : float
+    power_loss_share : float
         Part of the faults that stop all processes at once.
     """
 
@@ -32,9 +32,9 @@
     snapshot_entries = 100
     kept_entries = 50
 
-    def __init__(self, seed, spares=1, lost_at_once=1, power_losses=0.0, **options):
-        self.gone = set()
-        self.power_losses = power_losses
+    def __init__(self, seed, spares=1, lost_at_once=1, power_loss_share=0.0, **options):
+        self.removed = set()
+        self.power_loss_share = power_loss_share
         self.lost_at_once = lost_at_once
         super().__init__(seed, size=INITIAL + spares, **options)
 
@@ -49,7 +49,7 @@
         )
 
     def start(self, node):
-        if node.instance not in self.gone:
+        if node.instance not in self.removed:
             super().start(node)
 
     def _may_lose_disk(self, node):
@@ -70,7 +70,7 @@
         return len(away) < self.lost_at_once
 
     def _make_fault(self):
-        if self.power_losses and self.rng.random() < self.power_losses:
+        if self.power_loss_share and self.rng.random() < self.power_loss_share:
             self.lose_power()
         else:
             super()._make_fault()
@@ -83,7 +83,7 @@
 
     def remove(self, node):
         """Take an instance away for good."""
-        self.gone.add(node.instance)
+        self.removed.add(node.instance)
         self.crash(node)
         self.note(f"{node.instance} is-removed")
 
--- a/tests/core/test_bootstrap.py
+++ b/tests/core/test_bootstrap.py
@@ -7,90 +7,92 @@
 
 STEPS = 3000
 # Part of the faults that stop all processes at once.
-POWER_LOSSES = 0.05
+POWER_LOSS_SHARE = 0.05
 
 
-def settle_new(seed, **options):
+def build_settled_cluster(seed, **options):
     cluster = OpenCluster(seed, faults=False, **options)
-    cluster.settle(20.0)
+    cluster.heal_and_run(20.0)
     return cluster
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_spare_waits_as_a_learner_beside_three_voters(seed):
-    cluster = settle_new(seed)
+def test_one_spare_instance_stays_a_learner_beside_three_voters(seed):
+    cluster = build_settled_cluster(seed)
     membership = cluster.find_membership()
     assert cluster.list_voters() == set(cluster.names[:3])
     assert len(membership.members) == 4
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_two_spares_make_five_voters(seed):
-    cluster = settle_new(seed, spares=2)
+def test_two_spare_instances_become_voters(seed):
+    cluster = build_settled_cluster(seed, spares=2)
     assert cluster.list_voters() == set(cluster.names)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_spare_takes_the_place_of_a_voter_that_is_gone(seed):
-    cluster = settle_new(seed)
-    gone = cluster.nodes[cluster.names[seed % 3]]
-    cluster.remove(gone)
-    cluster.settle(20.0)
-    assert cluster.list_voters() == set(cluster.names) - {gone.instance}
+def test_spare_instance_replaces_a_removed_voter(seed):
+    cluster = build_settled_cluster(seed)
+    removed = cluster.nodes[cluster.names[seed % 3]]
+    cluster.remove(removed)
+    cluster.heal_and_run(20.0)
+    assert cluster.list_voters() == set(cluster.names) - {removed.instance}
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_replaced_voter_that_comes_back_learns_of_it_and_joins(seed):
-    cluster = settle_new(seed)
+def test_replaced_voter_joins_again_when_it_returns(seed):
+    cluster = build_settled_cluster(seed)
     away = cluster.nodes[cluster.names[seed % 3]]
     cluster.remove(away)
-    cluster.settle(20.0)
-    cluster.gone.clear()
-    cluster.settle(20.0)
+    cluster.heal_and_run(20.0)
+    cluster.removed.clear()
+    cluster.heal_and_run(20.0)
     membership = cluster.find_membership()
     assert membership.find(away.disk.replica) is not None
     assert len(cluster.list_voters()) == 3
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_wiped_voter_votes_again_soon(seed):
-    cluster = settle_new(seed, spares=0)
+def test_voter_with_a_lost_disk_soon_votes_again(seed):
+    cluster = build_settled_cluster(seed, spares=0)
     wiped = cluster.nodes[cluster.names[seed % 3]]
     cluster.lose_disk(wiped)
-    cluster.settle(4.0)
+    cluster.heal_and_run(4.0)
     membership = cluster.find_membership()
     assert membership.is_voter(wiped.disk.replica)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_wiped_replicas_of_a_fleet_that_existed_form_no_group(seed):
-    cluster = settle_new(seed, spares=0)
+def test_replicas_that_all_lost_their_disks_form_no_new_group(seed):
+    cluster = build_settled_cluster(seed, spares=0)
     for node in cluster.nodes.values():
         cluster.lose_disk(node)
-    cluster.settle(10.0)
+    cluster.heal_and_run(10.0)
     assert cluster.find_leader() is None
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_an_open_group_keeps_its_promises_through_faults(seed):
+def test_open_group_invariants_hold_under_random_faults(seed):
     cluster = OpenCluster(seed, spares=1 + seed % 2)
     cluster.run(STEPS)
     reached = len(cluster.committed)
-    cluster.settle(20.0)
+    cluster.heal_and_run(20.0)
     assert len(cluster.committed) > reached > 0
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_five_voters_keep_their_promises_when_two_disks_are_lost(seed):
-    cluster = OpenCluster(seed, spares=2, lost_at_once=2, power_losses=POWER_LOSSES)
+def test_five_voter_invariants_hold_when_two_disks_are_lost(seed):
+    cluster = OpenCluster(
+        seed, spares=2, lost_at_once=2, power_loss_share=POWER_LOSS_SHARE
+    )
     cluster.run(STEPS)
     reached = len(cluster.committed)
-    cluster.settle(20.0)
+    cluster.heal_and_run(20.0)
     assert len(cluster.committed) > reached > 0
     assert len(cluster.list_voters()) == 5
 
 
-class EagerCluster(OpenCluster):
+class EarlyAcknowledgingCluster(OpenCluster):
     """Sends acknowledgements before the disk has what they acknowledge."""
 
     def carry_out(self, node):
@@ -99,18 +101,18 @@
         node.unsynced.messages = []
 
 
-def test_acknowledging_before_the_sync_is_caught():
+def test_acknowledging_before_the_sync_is_detected():
     with pytest.raises(InvariantError, match="lacks committed entry"):
-        EagerCluster(88, power_losses=POWER_LOSSES).run(STEPS)
+        EarlyAcknowledgingCluster(88, power_loss_share=POWER_LOSS_SHARE).run(STEPS)
 
 
-def test_counting_a_wiped_voter_is_caught():
+def test_counting_a_voter_with_a_lost_disk_is_detected():
     with pytest.raises(InvariantError, match="lacks committed entry"):
-        OpenCluster(8, power_losses=POWER_LOSSES, keep_identity=True).run(STEPS)
+        OpenCluster(8, power_loss_share=POWER_LOSS_SHARE, keep_identity=True).run(STEPS)
 
 
 @pytest.mark.parametrize("seed", (185, 221, 238))
-def test_two_changes_of_membership_at_once_are_caught(seed, monkeypatch):
+def test_concurrent_membership_changes_are_detected(seed, monkeypatch):
     def can_change_beside_another(state):
         leadership = state.leadership
         if leadership is None or leadership.transfer_to is not None:
@@ -120,14 +122,14 @@
     monkeypatch.setattr(bootstrap, "can_change_membership", can_change_beside_another)
     with pytest.raises(InvariantError, match="lacks committed entry|two leaders"):
         OpenCluster(
-            seed, spares=2, lost_at_once=1 + seed % 2, power_losses=POWER_LOSSES
+            seed, spares=2, lost_at_once=1 + seed % 2, power_loss_share=POWER_LOSS_SHARE
         ).run(STEPS)
 
 
-def test_removing_a_voter_that_is_only_cut_off_loses_nothing(monkeypatch):
+def test_removing_a_partitioned_voter_loses_no_entries(monkeypatch):
     monkeypatch.setattr(bootstrap, "MAX_OPEN_VOTERS", 3)
     for seed in range(6):
-        cluster = settle_new(seed)
+        cluster = build_settled_cluster(seed)
         cut = cluster.names[seed % 3]
         cluster.isolate({cut})
         cluster.faults = False
@@ -135,5 +137,5 @@
         while cluster.now < limit:
             cluster.step()
         reached = len(cluster.committed)
-        cluster.settle(15.0)
+        cluster.heal_and_run(15.0)
         assert len(cluster.committed) > reached > 0
--- a/tests/core/test_control.py
+++ b/tests/core/test_control.py
@@ -46,12 +46,12 @@
 
 
 @pytest.fixture
-def rolling(driver):
+def rollout_driver(driver):
     driver.apply(1, models=[MODEL], rollouts=[ROLLOUT])
     return driver
 
 
-def test_racing_operators_have_one_winner_and_a_resend_is_harmless(driver):
+def test_ticket_number_is_accepted_once_and_a_resend_is_idempotent(driver):
     first = driver.apply(5, services=[{"name": "a"}])
     assert first.outcome is TicketOutcome.ACCEPTED
     assert driver.apply(5, services=[{"name": "b"}]).outcome is TicketOutcome.CONFLICT
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"\xff\x00", b"\x81\xa4type\xa4none"])
-def test_bad_command_is_answered_and_moves_the_index(driver, content):
+def test_invalid_command_is_answered_and_advances_the_index(driver, content):
     answer = driver.run(content)
     assert not answer.applied
     assert driver.machine.tables.index == 1
@@ -83,7 +83,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=64))
-def test_no_bytes_make_the_machine_raise(content):
+def test_arbitrary_bytes_never_make_the_machine_raise(content):
     machine = ControlMachine()
     decode_answer(machine.apply(1, content))
     decode_answer(machine.apply(2, encode_command(ApplyTicket(content))))
@@ -97,27 +97,27 @@
     assert list(driver.machine.tables.services) == ["a"]
 
 
-def test_snapshot_and_restore_equal_replay_after_many_tickets(rolling):
+def test_snapshot_and_restore_equal_replay_after_many_tickets(rollout_driver):
     for number in range(2, 1_102):
         service = {"name": f"s{number % 40}", "price": number / 7}
-        assert rolling.apply(number, services=[service]).outcome == "accepted"
+        assert rollout_driver.apply(number, services=[service]).outcome == "accepted"
         if number == 600:
-            middle = rolling.machine.snapshot()
-            tail = len(rolling.log)
-    rolling.run(RecordCrash("f", "e", 1))
-    rolling.run(RecordProgress("r", 1, 2, RolloutState.STOPPED, 7, "errors"))
+            middle = rollout_driver.machine.snapshot()
+            tail = len(rollout_driver.log)
+    rollout_driver.run(RecordCrash("f", "e", 1))
+    rollout_driver.run(RecordProgress("r", 1, 2, RolloutState.STOPPED, 7, "errors"))
     replayed = ControlMachine()
-    for index, command in enumerate(rolling.log, 1):
+    for index, command in enumerate(rollout_driver.log, 1):
         replayed.apply(index, command)
     follower = ControlMachine()
     follower.restore(middle)
-    for index, command in enumerate(rolling.log[tail:], tail + 1):
+    for index, command in enumerate(rollout_driver.log[tail:], tail + 1):
         follower.apply(index, command)
     restarted = ControlMachine()
-    restarted.restore(rolling.machine.snapshot())
+    restarted.restore(rollout_driver.machine.snapshot())
     for machine in (replayed, follower, restarted):
-        assert machine.snapshot() == rolling.machine.snapshot()
-        assert machine.tables == rolling.machine.tables
+        assert machine.snapshot() == rollout_driver.machine.snapshot()
+        assert machine.tables == rollout_driver.machine.tables
 
 
 def test_restore_keeps_the_tables_object(driver):
@@ -137,46 +137,52 @@
     assert driver.apply(3).outcome is TicketOutcome.REPEATED
 
 
-def test_completed_rollout_makes_the_candidate_current(rolling):
+def test_completed_rollout_makes_the_candidate_current(rollout_driver):
     done = RecordProgress("r", 1, 3, RolloutState.COMPLETED, 100, "")
-    assert rolling.run(done).applied
-    tables = rolling.machine.tables
+    assert rollout_driver.run(done).applied
+    tables = rollout_driver.machine.tables
     assert tables.models["small"].current == "small:2"
-    assert not rolling.run(done).applied
-    back = rolling.apply(2, models=[MODEL])
+    assert not rollout_driver.run(done).applied
+    back = rollout_driver.apply(2, models=[MODEL])
     assert "would undo roll-out r" in back.faults[0]
-    accepted = rolling.apply(2, models=[MODEL], remove={"rollouts": ["r"]})
+    accepted = rollout_driver.apply(2, models=[MODEL], remove={"rollouts": ["r"]})
     assert accepted.outcome is TicketOutcome.ACCEPTED
     assert tables.models["small"].current == "small:1"
 
 
-def test_stopped_rollout_withdraws_its_candidate(rolling):
-    rolling.run(RecordProgress("r", 1, 1, RolloutState.STOPPED, 9, "errors"))
-    version = rolling.machine.tables.versions["small:2"]
+def test_stopped_rollout_withdraws_its_candidate(rollout_driver):
+    rollout_driver.run(RecordProgress("r", 1, 1, RolloutState.STOPPED, 9, "errors"))
+    version = rollout_driver.machine.tables.versions["small:2"]
     assert version.state is VersionState.WITHDRAWN
-    assert rolling.machine.tables.models["small"].versions[1] is version
-    again = rolling.apply(2, models=[MODEL])
+    assert rollout_driver.machine.tables.models["small"].versions[1] is version
+    again = rollout_driver.apply(2, models=[MODEL])
     assert again.outcome is TicketOutcome.INVALID
 
 
-def test_step_decided_for_an_earlier_ticket_is_refused(rolling):
-    rolling.apply(2, rollouts=[{**ROLLOUT, "state": "paused"}])
+def test_step_decided_for_an_earlier_ticket_is_refused(rollout_driver):
+    rollout_driver.apply(2, rollouts=[{**ROLLOUT, "state": "paused"}])
     late = RecordProgress("r", 1, 3, RolloutState.COMPLETED)
-    assert not rolling.run(late).applied
-    assert not rolling.run(RecordProgress("r", 2, 3, RolloutState.COMPLETED)).applied
-    assert rolling.run(RecordProgress("r", 2, 1, RolloutState.PAUSED, 4)).applied
-    rolling.apply(3, rollouts=[ROLLOUT])
-    progress = rolling.machine.tables.progress["r"]
+    assert not rollout_driver.run(late).applied
+    assert not rollout_driver.run(
+        RecordProgress("r", 2, 3, RolloutState.COMPLETED)
+    ).applied
+    assert rollout_driver.run(RecordProgress("r", 2, 1, RolloutState.PAUSED, 4)).applied
+    rollout_driver.apply(3, rollouts=[ROLLOUT])
+    progress = rollout_driver.machine.tables.progress["r"]
     assert (progress.stage, progress.exposed) == (1, 4)
     assert progress.state is RolloutState.RUNNING
 
 
-def test_stage_and_exposure_never_go_back(rolling):
-    rolling.run(RecordProgress("r", 1, 2, RolloutState.RUNNING, 50))
-    assert not rolling.run(RecordProgress("r", 1, 1, RolloutState.RUNNING, 60)).applied
-    assert not rolling.run(RecordProgress("r", 1, 9, RolloutState.RUNNING, 60)).applied
-    rolling.run(RecordProgress("r", 1, 2, RolloutState.RUNNING, 40))
-    assert rolling.machine.tables.progress["r"].exposed == 50
+def test_stage_and_exposure_never_decrease(rollout_driver):
+    rollout_driver.run(RecordProgress("r", 1, 2, RolloutState.RUNNING, 50))
+    assert not rollout_driver.run(
+        RecordProgress("r", 1, 1, RolloutState.RUNNING, 60)
+    ).applied
+    assert not rollout_driver.run(
+        RecordProgress("r", 1, 9, RolloutState.RUNNING, 60)
+    ).applied
+    rollout_driver.run(RecordProgress("r", 1, 2, RolloutState.RUNNING, 40))
+    assert rollout_driver.machine.tables.progress["r"].exposed == 50
 
 
 def test_one_crash_reported_by_two_entries_counts_once(driver):
--- a/tests/core/test_errors.py
+++ b/tests/core/test_errors.py
@@ -8,7 +8,7 @@
     assert set(HTTP_STATUS) == set(Code)
 
 
-def test_page_lists_every_code_with_its_name_and_status():
+def test_errors_page_lists_every_code_with_its_name_and_status():
     page = Path(__file__).parents[2] / "docs" / "ERRORS.md"
     rows = [line.strip("| ").split(" | ") for line in page.read_text().splitlines()]
     listed = [
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -109,14 +109,14 @@
     assert driver.claim(token="t2") == Granted()
 
 
-def test_release_after_the_end_changes_nothing(driver):
+def test_release_after_finish_changes_nothing(driver):
     driver.claim()
     driver.finish()
     driver.run(Release("karen", "k", "t1"))
     assert driver.claim(token="t2") == Done(ANSWER, "a-1-1")
 
 
-def test_claims_of_a_dead_entry_become_unknown_and_take_a_late_answer(driver):
+def test_claims_of_a_dead_entry_become_unknown_and_accept_an_answer(driver):
     driver.claim()
     driver.claim("later", "t9", "a-2-1")
     driver.claim("other", "t8", "b-1-1")
@@ -129,14 +129,14 @@
     assert driver.claim(token="t2") == Done(ANSWER, "a-1-1")
 
 
-def test_claim_held_too_long_becomes_unknown_by_log_time(driver):
+def test_claim_becomes_unknown_after_its_expiry_in_log_time(driver):
     driver.claim()
-    assert driver.run(Tick(key_table.CLAIM_EXPIRY)).count == 0
+    assert driver.run(Tick(key_table.CLAIM_EXPIRY_SECONDS)).count == 0
     assert driver.run(Tick(1.0)).count == 1
     assert driver.claim(token="t2") == Unknown("a-1-1")
 
 
-def test_end_without_answer_and_bill_is_unknown(driver):
+def test_finish_without_answer_or_bill_makes_the_claim_unknown(driver):
     driver.claim()
     driver.finish(answer=None)
     assert driver.claim(token="t2") == Unknown("a-1-1")
@@ -156,7 +156,7 @@
     assert driver.machine.total("karen").bills == 1
 
 
-def test_bills_of_one_entry_count_in_any_order_and_once(driver):
+def test_bills_of_one_entry_count_once_in_any_order(driver):
     order = [5, 1, 900, 3, 2, 900, 1]
     outcomes = [driver.bill(f"a-1-{number}").outcome for number in order]
     assert outcomes == [BillOutcome.RECORDED] * 5 + [BillOutcome.DUPLICATE] * 2
@@ -164,7 +164,7 @@
     assert driver.machine.total("karen").bills == 6
 
 
-def test_bill_past_the_window_is_refused(driver):
+def test_bill_older_than_the_window_is_refused(driver):
     driver.bill("a-1-0")
     driver.bill(f"a-1-{WINDOW_SIZE + 10}")
     assert driver.bill("a-1-10").outcome is BillOutcome.EXPIRED
@@ -224,7 +224,7 @@
     assert driver.claim("k2", "x") == Done(ANSWER, "a-1-2")
 
 
-def test_held_claims_never_make_room(driver, monkeypatch):
+def test_held_claims_are_never_evicted(driver, monkeypatch):
     monkeypatch.setattr(key_table, "MAX_KEYS", 2)
     driver.claim("k1", "t1")
     driver.claim("k2", "t2", "a-1-2")
@@ -235,12 +235,10 @@
     assert driver.claim("k1", "x") == Held("a-1-1")
 
 
-def test_new_keys_are_refused_until_an_expired_one_may_be_forgotten(
-    driver, monkeypatch
-):
+def test_new_keys_are_refused_until_an_expired_one_can_be_dropped(driver, monkeypatch):
     monkeypatch.setattr(key_table, "MAX_KEYS", 1)
-    monkeypatch.setattr(key_table, "MAX_EXPIRED", 1)
-    monkeypatch.setattr(key_table, "KEY_RETENTION", 100.0)
+    monkeypatch.setattr(key_table, "MAX_EXPIRED_KEYS", 1)
+    monkeypatch.setattr(key_table, "KEY_RETENTION_SECONDS", 100.0)
     for number in (1, 2):
         driver.claim(f"k{number}", f"t{number}")
         driver.finish(f"k{number}", f"t{number}")
@@ -251,7 +249,7 @@
 
 
 def test_stored_answers_are_bounded_and_the_key_stays_done(driver, monkeypatch):
-    monkeypatch.setattr(key_table, "MAX_ANSWERS_BYTES", 5)
+    monkeypatch.setattr(key_table, "MAX_TOTAL_ANSWER_BYTES", 5)
     for number in (1, 2, 3):
         driver.claim(f"k{number}", f"t{number}")
         driver.finish(f"k{number}", f"t{number}")
@@ -260,7 +258,7 @@
     assert driver.machine.count_entities()["answer_bytes"] == 4
 
 
-def test_late_bill_of_a_forgotten_claim_counts_once(driver, monkeypatch):
+def test_late_bill_of_an_expired_claim_counts_once(driver, monkeypatch):
     monkeypatch.setattr(key_table, "MAX_KEYS", 1)
     driver.claim()
     driver.run(Abandon("a", 1))
@@ -281,7 +279,7 @@
         Claim("karen", "k", "d", "t", "made elsewhere"),
     ],
 )
-def test_bad_command_is_answered(driver, command):
+def test_invalid_command_is_refused(driver, command):
     assert isinstance(driver.run(command), Refused)
     assert driver.machine.index == 1
 
@@ -357,7 +355,7 @@
     assert total >= len(billed)
 
 
-def test_voided_bill_is_taken_back_and_never_stands_later(driver):
+def test_voided_bill_is_removed_and_cannot_be_recorded_later(driver):
     driver.bill("a-1-1")
     driver.bill("a-1-2")
     assert driver.run(VoidBill(make_bill("a-1-1", None))).count == 1
--- a/tests/core/test_ledgercluster.py
+++ b/tests/core/test_ledgercluster.py
@@ -6,14 +6,14 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_one_holder_dispatches_and_one_bill_stands_through_faults(seed):
+def test_each_key_is_dispatched_and_billed_once_under_faults(seed):
     cluster = LedgerCluster(seed, size=5 if seed % 3 == 0 else 3)
     cluster.run(3000)
-    cluster.settle(10.0)
+    cluster.heal_and_run(10.0)
     assert cluster.check_bills() > 5
 
 
-def test_a_ledger_that_grants_anew_after_a_restore_is_caught(monkeypatch):
+def test_granting_a_key_again_after_a_restore_is_detected(monkeypatch):
     restore = LedgerMachine.restore
 
     def forget(self, content):
--- a/tests/core/test_ticket.py
+++ b/tests/core/test_ticket.py
@@ -63,7 +63,7 @@
     return caught.value.faults
 
 
-def test_every_fault_is_named_with_its_place():
+def test_every_fault_is_listed_with_its_place():
     faults = find_faults(
         "number: 0\nmodels: [{name: A, current: 'a:1', versions: []}]\nextra: 1\n"
         "workspaces: [{name: w, share: .inf}]"
@@ -97,11 +97,11 @@
         ("? [1, 2]\n: 3\n", "document"),
     ],
 )
-def test_documents_that_mislead_or_break_are_refused(text, word):
+def test_ambiguous_or_malformed_documents_are_refused(text, word):
     assert any(word in fault for fault in find_faults(text))
 
 
-def test_digest_does_not_depend_on_the_form():
+def test_digest_does_not_depend_on_formatting():
     ticket = parse_ticket(BASE)
     assert parse_ticket(encode_ticket(ticket)) == ticket
     again = parse_ticket(BASE + "note: ''\n")
@@ -160,18 +160,18 @@
         ),
     ],
 )
-def test_broken_reference_is_named(sections, fault):
+def test_broken_reference_is_reported(sections, fault):
     faults = check_ticket(build_tables(), build_ticket(2, **sections))
     assert any(fault in item for item in faults)
 
 
-def test_faults_of_before_are_not_counted_against_a_ticket():
+def test_existing_faults_do_not_block_a_ticket():
     tables = build_tables()
     del tables.services["parcels"]
     assert check_ticket(tables, build_ticket(2, services=[{"name": "x"}])) == ()
 
 
-def test_model_named_again_does_not_undo_its_running_rollout():
+def test_ticket_that_repeats_a_model_keeps_its_running_rollout():
     tables = build_tables(build_ticket(2, rollouts=[build_rollout()]))
     same = build_model(v1="serving", v2="serving", v3="serving")
     assert check_ticket(tables, build_ticket(3, models=[same])) == ()
@@ -185,7 +185,7 @@
     assert check_ticket(tables, named) == ()
 
 
-def test_withdrawing_the_candidate_stops_its_rollout_and_says_so():
+def test_withdrawing_the_candidate_stops_its_rollout_and_is_listed():
     tables = build_tables(build_ticket(2, rollouts=[build_rollout()]))
     ticket = build_ticket(3, models=[build_model(v1="serving", v2="withdrawn")])
     assert check_ticket(tables, ticket) == ()
@@ -195,7 +195,7 @@
     assert any("running -> stopped" in "".join(item.details) for item in changes)
 
 
-def test_stopped_rollout_withdraws_until_the_ticket_says_otherwise():
+def test_stopped_rollout_withdraws_until_removed_or_restarted():
     stop = build_ticket(3, rollouts=[build_rollout(state="stopped")])
     tables = build_tables(build_ticket(2, rollouts=[build_rollout()]), stop)
     assert tables.versions["small:2"].state is VersionState.WITHDRAWN
@@ -226,7 +226,7 @@
     assert changes["cascade", "guide"].action == "removed"
 
 
-LOSSES = (
+CHANGED_SECTIONS = (
     {"models": [build_model(v1="withdrawn", v2="withdrawn")]},
     {"models": [build_model(v1="serving")]},
     {"models": [build_model("small:2", v1="withdrawn", v2="serving")]},
@@ -241,8 +241,8 @@
 )
 
 
-@pytest.mark.parametrize("sections", LOSSES)
-def test_narrowed_check_finds_what_a_whole_one_finds(sections):
+@pytest.mark.parametrize("sections", CHANGED_SECTIONS)
+def test_check_of_named_workspaces_finds_what_a_full_check_finds(sections):
     tables = build_tables()
     ticket = build_ticket(2, **sections)
     after = merge_ticket(tables, ticket)
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -8,11 +8,11 @@
 from bergamotwood_core.errors import LogCorruptError, SettingsError
 from bergamotwood_core.ids import InstanceId, LogIndex, ReplicaId, Term
 from bergamotwood_core.logentries import (
-    Binding,
     Entries,
     Entry,
     EntryKind,
     HardState,
+    JoinedGroup,
     Snapshot,
 )
 from bergamotwood_core.membership import Genesis, Member, Membership
@@ -38,7 +38,7 @@
 
 def write_batches(folder, count, size=3):
     journal = open_journal(folder)
-    journal.save([Binding(GENESIS), HardState(Term(1), ReplicaId("r1"))])
+    journal.save([JoinedGroup(GENESIS), HardState(Term(1), ReplicaId("r1"))])
     for batch in range(count):
         first = batch * size + 1
         journal.save([build_entries(first, first + size - 1)])
@@ -229,7 +229,7 @@
 
 def test_a_write_that_was_refused_half_way_leaves_no_trace(tmp_path, monkeypatch):
     journal = open_journal(tmp_path)
-    journal.save([Binding(GENESIS), build_entries(1, 3)])
+    journal.save([JoinedGroup(GENESIS), build_entries(1, 3)])
     write = journal_module.write_file
 
     def write_half(file, data):
