--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -98,7 +98,7 @@
 
     def place_after_change(self) -> EndpointId:
         """Choose an endpoint after a change of membership."""
-        self.tables.directory.membership += 1
+        self.tables.directory.membership_version += 1
         return self.place_prefix()
 
     def check(self) -> None:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -224,7 +224,7 @@
         if row is None:
             row = Endpoint(word, self.agenda.now)
             entry.tables.endpoints[word.id] = row
-            entry.tables.membership += 1
+            entry.tables.membership_version += 1
         row.announcement = word
         row.heard_at = self.agenda.now
         row.outstanding_at_report = row.outstanding
@@ -243,7 +243,7 @@
         rows = entry.tables.endpoints
         for id_ in [i for i, r in rows.items() if now - r.heard_at > EXPIRY_SECONDS]:
             del rows[id_]
-            entry.tables.membership += 1
+            entry.tables.membership_version += 1
 
     def _limit(self, entry: EntryFake) -> int:
         rows = entry.tables.endpoints.values()
--- a/packages/core/src/bergamotwood_core/directory.py
+++ b/packages/core/src/bergamotwood_core/directory.py
@@ -73,7 +73,7 @@
     if announcement.sequence <= known.sequence:
         return _merge_late_leaving(tables, endpoint, announcement)
     if not _has_same_membership(known, announcement):
-        tables.membership += 1
+        tables.membership_version += 1
     endpoint.announcement = announcement
     endpoint.heard_at = max(endpoint.heard_at, now)
     endpoint.outstanding_at_report = endpoint.outstanding
@@ -170,7 +170,7 @@
             word.incarnation, word.sequence, not endpoint.serving, now
         )
         del tables.endpoints[endpoint.id]
-        tables.membership += 1
+        tables.membership_version += 1
         _keep_departure(tables.departed_endpoints, endpoint.id, departure)
     _forget_departures(tables.departed_endpoints, now)
     return tuple(endpoint.id for endpoint in silent)
@@ -223,7 +223,7 @@
     tables: DirectoryTables, announcement: Announcement, now: Seconds
 ) -> None:
     tables.endpoints[announcement.id] = Endpoint(announcement, now)
-    tables.membership += 1
+    tables.membership_version += 1
 
 
 def _merge_late_leaving(
@@ -231,7 +231,7 @@
 ) -> bool:
     if announcement.state is not EndpointState.LEAVING:
         return False
-    tables.membership += 1
+    tables.membership_version += 1
     endpoint.announcement = announcement
     return True
 
--- a/packages/core/src/bergamotwood_core/outlier.py
+++ b/packages/core/src/bergamotwood_core/outlier.py
@@ -16,9 +16,9 @@
 def record_start(endpoint: Endpoint, now: Seconds) -> None:
     """Count an attempt that is being sent to an endpoint."""
     endpoint.outstanding += 1
-    if endpoint.waiting == 0:
-        endpoint.waiting_since = now
-    endpoint.waiting += 1
+    if endpoint.awaiting_first_token == 0:
+        endpoint.awaiting_since = now
+    endpoint.awaiting_first_token += 1
 
 
 def record_first_token(endpoint: Endpoint, seconds: float, now: Seconds) -> None:
@@ -33,8 +33,8 @@
     now : Seconds
         When it came.
     """
-    endpoint.waiting = max(0, endpoint.waiting - 1)
-    endpoint.waiting_since = now
+    endpoint.awaiting_first_token = max(0, endpoint.awaiting_first_token - 1)
+    endpoint.awaiting_since = now
     if endpoint.first_token_seconds == 0.0:
         endpoint.first_token_seconds = seconds
         return
@@ -86,7 +86,7 @@
     """
     endpoint.outstanding = max(0, endpoint.outstanding - 1)
     if not answered:
-        endpoint.waiting = max(0, endpoint.waiting - 1)
+        endpoint.awaiting_first_token = max(0, endpoint.awaiting_first_token - 1)
 
 
 def is_silent(endpoint: Endpoint, now: Seconds) -> bool:
@@ -95,7 +95,7 @@
     It gets no new work meanwhile; the attempts that wait there go on until their
     own timeouts.
     """
-    if endpoint.waiting == 0:
+    if endpoint.awaiting_first_token == 0:
         return False
     usual = SILENCE_FACTOR * endpoint.first_token_seconds
-    return now - endpoint.waiting_since > max(MIN_SILENCE_SECONDS, usual)
+    return now - endpoint.awaiting_since > max(MIN_SILENCE_SECONDS, usual)
--- a/packages/core/src/bergamotwood_core/placement.py
+++ b/packages/core/src/bergamotwood_core/placement.py
@@ -215,7 +215,7 @@
         return False
     if announcement.state is not EndpointState.SERVING:
         return False
-    if endpoint.waiting and is_silent(endpoint, now):
+    if endpoint.awaiting_first_token and is_silent(endpoint, now):
         return False
     return endpoint.ejected_until <= now
 
--- a/packages/core/src/bergamotwood_core/pool.py
+++ b/packages/core/src/bergamotwood_core/pool.py
@@ -18,9 +18,9 @@
         Which pool.
     """
     size = len(tables.endpoints)
-    if tables.pools_membership != tables.membership or tables.pools_size != size:
+    if tables.pools_version != tables.membership_version or tables.pools_size != size:
         tables.pools.clear()
-        tables.pools_membership = tables.membership
+        tables.pools_version = tables.membership_version
         tables.pools_size = size
     pool = tables.pools.get(key)
     if pool is None:
--- a/packages/core/src/bergamotwood_core/replication.py
+++ b/packages/core/src/bergamotwood_core/replication.py
@@ -101,7 +101,7 @@
         return
     _record_reply(progress, body, now)
     if body.accepted:
-        _raise_match(progress, body.match)
+        _advance_match(progress, body.match)
     elif not _lower_next(progress, body):
         return
     advance_commit(state, now)
@@ -269,7 +269,7 @@
         progress.follower_time = body.follower_time
 
 
-def _raise_match(progress: Progress, match: LogIndex) -> None:
+def _advance_match(progress: Progress, match: LogIndex) -> None:
     progress.match = max(progress.match, match)
     progress.next = max(progress.next, LogIndex(progress.match + 1))
     progress.probing = False
--- a/packages/core/src/bergamotwood_core/tables.py
+++ b/packages/core/src/bergamotwood_core/tables.py
@@ -56,9 +56,9 @@
         Failures in a row.
     ejected_until : Seconds
         Gets no new work before, because of failures.
-    waiting : int
+    awaiting_first_token : int
         Attempts of this daemon that have no first token yet.
-    waiting_since : Seconds
+    awaiting_since : Seconds
         Since when it has sent no first token, while some attempt waited.
     """
 
@@ -69,8 +69,8 @@
     first_token_seconds: float = 0.0
     failures: int = 0
     ejected_until: Seconds = Seconds(0.0)
-    waiting: int = 0
-    waiting_since: Seconds = Seconds(0.0)
+    awaiting_first_token: int = 0
+    awaiting_since: Seconds = Seconds(0.0)
 
     @property
     def id(self) -> EndpointId:
@@ -194,12 +194,12 @@
     ----------
     endpoints, entries : dict
         Rows by id.
-    membership : int
+    membership_version : int
         Raised whenever an endpoint comes, goes, moves or changes its versions;
         the pools are made anew then.
     pools : dict
         Pools made since, by key.
-    pools_membership, pools_size : int
+    pools_version, pools_size : int
         Membership and number of endpoints that the pools were made from.
     departed_endpoints, departed_entries : dict
         Last words of those that are no longer there.
@@ -207,9 +207,9 @@
 
     endpoints: dict[EndpointId, Endpoint] = field(default_factory=dict)
     entries: dict[InstanceId, Entry] = field(default_factory=dict)
-    membership: int = 0
+    membership_version: int = 0
     pools: dict[PoolKey, Pool] = field(default_factory=dict)
-    pools_membership: int = -1
+    pools_version: int = -1
     pools_size: int = 0
     departed_endpoints: dict[EndpointId, Departure] = field(default_factory=dict)
     departed_entries: dict[InstanceId, Departure] = field(default_factory=dict)
--- a/packages/daemon/src/bergamotwood_daemon/presence.py
+++ b/packages/daemon/src/bergamotwood_daemon/presence.py
@@ -56,10 +56,10 @@
         """Take an endpoint's word on itself."""
         announcement = decode_announcement(request.read_body())
         directory = self._entry.tables.directory
-        membership = directory.membership
+        membership = directory.membership_version
         news = merge_announcement(directory, announcement, self._entry.clock())
         if news:
-            urgent = directory.membership != membership
+            urgent = directory.membership_version != membership
             self._entry.watch.offer(announcement, urgent)
         return answer_json(AnnouncementReply(news))
 
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -126,9 +126,9 @@
         announce(2, 1),
     ):
         merge_announcement(tables, word, 0.0)
-        seen.append(tables.membership)
+        seen.append(tables.membership_version)
     expire_endpoints(tables, 9.0)
-    assert [*seen, tables.membership] == [1, 1, 2, 3, 4, 5]
+    assert [*seen, tables.membership_version] == [1, 1, 2, 3, 4, 5]
 
 
 def test_repeated_word_does_not_keep_an_endpoint_alive(tables):
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -57,7 +57,7 @@
     tables.endpoints[EndpointId("b")] = make_endpoint("b")
     assert "b" in choose_many(tables, make_need())
     tables.endpoints[EndpointId("a")] = make_endpoint("a", versions=())
-    tables.membership += 1
+    tables.membership_version += 1
     assert set(choose_many(tables, make_need())) == {"b"}
 
 
@@ -108,7 +108,7 @@
     record_start(bad, bad.ejected_until)
     record_first_token(bad, 0.1, bad.ejected_until)
     record_success(bad, bad.ejected_until)
-    assert (bad.failures, bad.outstanding, bad.waiting) == (0, 0, 0)
+    assert (bad.failures, bad.outstanding, bad.awaiting_first_token) == (0, 0, 0)
 
 
 def test_ejected_endpoints_are_used_when_there_are_no_others():
@@ -136,7 +136,7 @@
     assert set(choose_many(tables, make_need())) == {"good"}
     record_failure(silent, NOW)
     assert silent.ejected_until > NOW
-    assert silent.waiting == 0
+    assert silent.awaiting_first_token == 0
 
 
 def test_a_long_prefix_is_worth_more_load_than_a_short_one():
