--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -25,10 +25,10 @@
     Workload,
 )
 from bergamotwood_core.budget import RatingBudget
-from bergamotwood_core.cascade import CascadePolicy, CascadeSettings, Plan
+from bergamotwood_core.cascade import CascadePlan, CascadePolicy, CascadeSettings
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Workspace
-from bergamotwood_core.evidence import CellKey
+from bergamotwood_core.evidence import EstimateKey
 from bergamotwood_core.ids import RequestClass, VersionId
 from bergamotwood_core.usage import Candidate, Usage
 
@@ -109,7 +109,7 @@
     )
 
 
-Sample = tuple[float, int, CascadePolicy, CellKey, float, float | None]
+Sample = tuple[float, int, CascadePolicy, EstimateKey, float, float | None]
 
 
 class PolicyRun:
@@ -201,7 +201,7 @@
     def _answer(
         self,
         policy: CascadePolicy,
-        plan: Plan,
+        plan: CascadePlan,
         request_class: RequestClass,
         index: int,
         now: float,
@@ -214,7 +214,9 @@
             version = self.indexes[step.version]
             self._record_usage(policy, request_class, index, version)
             cost += float(answers.costs[index, version])
-            key = CellKey(self.workspace.key, request_class, step.version, escalated)
+            key = EstimateKey(
+                self.workspace.key, request_class, step.version, escalated
+            )
             if not step.rate:
                 wait += float(answers.first_tokens[index, version])
                 break
@@ -230,7 +232,7 @@
                 break
             escalated = True
         accepted = float(answers.first_scores[index, version]) if step.rate else None
-        policy.record_return(self.workspace, key, accepted)
+        policy.record_returned_answer(self.workspace, key, accepted)
         if policy.should_sample(key, Seconds(now), accepted is not None):
             self._sample(policy, key, index, version, now, accepted)
         quality = float(answers.qualities[index, version])
@@ -254,7 +256,7 @@
     def _sample(
         self,
         policy: CascadePolicy,
-        key: CellKey,
+        key: EstimateKey,
         index: int,
         version: int,
         now: float,
@@ -274,7 +276,7 @@
             if accepted is None:
                 policy.record_rating(key, score, Seconds(now))
             else:
-                policy.record_repeat(accepted, score)
+                policy.record_repeated_rating(accepted, score)
         if len(self.policies) < 2 or now - self.exchanged_at < EXCHANGE_SECONDS:
             return
         self.exchanged_at = now
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -8,7 +8,7 @@
 from click import command, option
 
 from benchmarks.figures import Row, find_quantiles, print_table, write_json
-from bergamotwood_core.admission import Admission, AdmissionSettings
+from bergamotwood_core.admission import AdmissionController, AdmissionSettings
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Version, Workspace
 from bergamotwood_core.dispatch import check_dispatch
@@ -23,7 +23,7 @@
 )
 from bergamotwood_core.messages import Address, Announcement
 from bergamotwood_core.outlier import record_first_token, record_start, record_success
-from bergamotwood_core.placement import Need, choose_endpoint
+from bergamotwood_core.placement import PlacementRequirements, choose_endpoint
 from bergamotwood_core.quarantine import fingerprint_request
 from bergamotwood_core.session import make_session, read_session
 from bergamotwood_core.states import EndpointKind, Priority
@@ -79,14 +79,14 @@
         self.tables = make_tables(size, spread, self.rng)
         self.version = VersionId("m0:1")
         self.target = VersionTarget(self.version)
-        self.admission = Admission(AdmissionSettings(limit=1_000))
+        self.admission = AdmissionController(AdmissionSettings(limit=1_000))
         self.session = make_session(self.version, SECRET, self.rng)
         self.body = bytes(self.rng.randbytes(24_000))
         self.number = 0
 
     def place(self, **fields: int | SessionId) -> EndpointId:
         """Choose an endpoint."""
-        need = Need(self.target, DataCentre("dc0"), **fields)
+        need = PlacementRequirements(self.target, DataCentre("dc0"), **fields)
         chosen = choose_endpoint(self.tables.directory, need, NOW, self.rng)
         if chosen is None:
             raise LookupError("no endpoint runs the version")
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -8,7 +8,7 @@
 from benchmarks.engine import Engine, EngineSettings, Health, Job
 from benchmarks.workload import Offer
 from bergamotwood_core.admission import (
-    Admission,
+    AdmissionController,
     AdmissionSettings,
     Admitted,
     Queued,
@@ -33,7 +33,7 @@
     record_start,
     record_success,
 )
-from bergamotwood_core.placement import Need
+from bergamotwood_core.placement import PlacementRequirements
 from bergamotwood_core.retry import RetryBudget
 from bergamotwood_core.states import EndpointKind
 from bergamotwood_core.tables import DirectoryTables, Endpoint
@@ -46,7 +46,9 @@
 EXPIRY_SECONDS = 5.0
 MAX_ATTEMPTS = 3
 
-Choose = Callable[[DirectoryTables, Need, Seconds, Random], EndpointId | None]
+Choose = Callable[
+    [DirectoryTables, PlacementRequirements, Seconds, Random], EndpointId | None
+]
 
 
 @dataclass
@@ -95,7 +97,7 @@
     """One entry: its tables, admission and retry budget."""
 
     data_centre: DataCentre
-    admission: Admission
+    admission: AdmissionController
     tables: DirectoryTables = field(default_factory=DirectoryTables)
     budget: RetryBudget = field(default_factory=RetryBudget)
     waiting: dict[RequestId, Offer] = field(default_factory=dict)
@@ -180,7 +182,9 @@
     def _make_entries(self) -> list[EntryFake]:
         entries = []
         for number in range(self.settings.entries):
-            entry = EntryFake(self.place(number), Admission(self.settings.limits))
+            entry = EntryFake(
+                self.place(number), AdmissionController(self.settings.limits)
+            )
             for id_ in self.engines:
                 entry.tables.endpoints[id_] = Endpoint(
                     self._announce(id_, 0), Seconds(0.0)
@@ -278,7 +282,7 @@
         self, entry: EntryFake, offer: Offer, excluded: frozenset[EndpointId]
     ) -> None:
         """Place one attempt and send it."""
-        need = Need(
+        need = PlacementRequirements(
             VersionTarget(VERSION),
             entry.data_centre,
             nearby=self.settings.nearby,
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -12,7 +12,7 @@
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Workspace
 from bergamotwood_core.ids import EndpointId
-from bergamotwood_core.placement import Need, choose_endpoint
+from bergamotwood_core.placement import PlacementRequirements, choose_endpoint
 from bergamotwood_core.tables import DirectoryTables
 
 WARM_SECONDS = 30.0
@@ -25,7 +25,9 @@
 }
 
 
-def list_allowed(tables: DirectoryTables, need: Need) -> list[EndpointId]:
+def list_allowed(
+    tables: DirectoryTables, need: PlacementRequirements
+) -> list[EndpointId]:
     """List the endpoints that a baseline may choose."""
     return [id_ for id_ in tables.endpoints if id_ not in need.excluded]
 
@@ -35,7 +37,7 @@
     turns: dict[int, int] = {}
 
     def choose(
-        tables: DirectoryTables, need: Need, now: Seconds, rng: Random
+        tables: DirectoryTables, need: PlacementRequirements, now: Seconds, rng: Random
     ) -> EndpointId | None:
         allowed = sorted(list_allowed(tables, need))
         if not allowed:
@@ -48,7 +50,7 @@
 
 
 def choose_least(
-    tables: DirectoryTables, need: Need, now: Seconds, rng: Random
+    tables: DirectoryTables, need: PlacementRequirements, now: Seconds, rng: Random
 ) -> EndpointId | None:
     """Choose the least reported load."""
     allowed = list_allowed(tables, need)
@@ -58,7 +60,7 @@
 
 
 def choose_two(
-    tables: DirectoryTables, need: Need, now: Seconds, rng: Random
+    tables: DirectoryTables, need: PlacementRequirements, now: Seconds, rng: Random
 ) -> EndpointId | None:
     """Choose the less loaded by report of two random endpoints."""
     allowed = list_allowed(tables, need)
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -14,9 +14,9 @@
 from bergamotwood_core.quarantine import (
     QUARANTINE_CRASHES,
     FinishedRequests,
-    GiveUp,
     Isolated,
     Isolation,
+    RefuseRequest,
     RunNow,
     WaitFor,
     assign_endpoints,
@@ -196,7 +196,7 @@
                 self._place(call, clearance)
             case WaitFor(seconds):
                 self._again(call, min(seconds, 0.25))
-            case GiveUp():
+            case RefuseRequest():
                 self._refuse(call)
 
     def _again(self, call: Call, seconds: float) -> None:
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -16,7 +16,7 @@
 from bergamotwood_core.ids import RolloutId, TicketNumber, VersionId
 from bergamotwood_core.messages import Address, Announcement
 from bergamotwood_core.outcome import LATENCY_BOUNDS, ArmCounts, RolloutReport
-from bergamotwood_core.rollout import RolloutWatch, advance_rollouts, merge_reports
+from bergamotwood_core.rollout import RolloutMonitor, advance_rollouts, merge_reports
 from bergamotwood_core.states import EndpointKind, RolloutState
 from bergamotwood_core.tables import (
     ConfigurationTables,
@@ -229,7 +229,7 @@
         self.names = [RolloutId(f"r{index}") for index in range(setting.rollouts)]
         self.configuration = _make_configuration(self.names)
         self.directory = _make_directory(self.names)
-        self.watches: dict[RolloutId, RolloutWatch] = {}
+        self.monitors: dict[RolloutId, RolloutMonitor] = {}
         self.flows = {
             name: [
                 (ArmFlow(CANDIDATE_RATED, self.rng), ArmFlow(CURRENT_RATED, self.rng))
@@ -306,14 +306,14 @@
     def _judge(self, now: float) -> None:
         lost = now - LEADER_LOST_AT
         if self.setting.lose_leader and 0.0 <= lost < LEADER_LOST_SECONDS:
-            self.watches = {}
+            self.monitors = {}
             return
         changes = advance_rollouts(
-            self.configuration, self.directory, self.watches, Seconds(now)
+            self.configuration, self.directory, self.monitors, Seconds(now)
         )
         while self.reports and self.reports[0][0] <= now:
             _, reports = self.reports.pop(0)
-            merge_reports(self.watches, reports)
+            merge_reports(self.monitors, reports)
         for change in changes:
             progress = change.progress
             self.configuration.progress[change.rollout] = progress
--- a/packages/core/src/bergamotwood_core/address.py
+++ b/packages/core/src/bergamotwood_core/address.py
@@ -9,7 +9,7 @@
 from bergamotwood_core.tables import DirectoryTables, Entry
 
 # Seconds without a word after which an entry is taken out.
-ENTRY_EXPIRY = 5.0
+ENTRY_EXPIRY_SECONDS = 5.0
 
 
 def choose_addresses(
@@ -58,7 +58,7 @@
 def _is_usable(entry: Entry, now: Seconds) -> bool:
     if entry.report.state is EntryState.DRAINING:
         return False
-    return now - entry.heard_at <= ENTRY_EXPIRY
+    return now - entry.heard_at <= ENTRY_EXPIRY_SECONDS
 
 
 def _rank_entry(
--- a/packages/core/src/bergamotwood_core/admission.py
+++ b/packages/core/src/bergamotwood_core/admission.py
@@ -12,9 +12,9 @@
 
 DEFAULT_POOL = ""
 # Slots beyond the limit, as a part of it, for workspaces below their share.
-RESERVE = 0.15
+RESERVE_RATIO = 0.15
 # Weight of the newest running time in the moving average.
-SERVICE_WEIGHT = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 30.0
 
@@ -79,31 +79,31 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _QueuedRequest:
     """A request in a queue."""
 
     id: RequestId
     priority: Priority
-    order: int
+    arrival_number: int
     deadline: Seconds
 
 
 @dataclass(slots=True)
-class _Running:
+class _RunningRequest:
     """A request that holds a slot."""
 
     pool: str
     workspace: WorkspaceId
-    since: Seconds
+    started_at: Seconds
 
 
 @dataclass(slots=True)
-class _Row:
+class _WorkspaceQueue:
     """One workspace in one pool; the queue is in the order of service."""
 
     workspace: Workspace
     in_flight: int = 0
-    queue: list[_Waiting] = field(default_factory=list)
+    requests: list[_QueuedRequest] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -113,10 +113,10 @@
     limit: int
     service_seconds: float
     in_flight: int = 0
-    rows: dict[WorkspaceId, _Row] = field(default_factory=dict)
+    queues: dict[WorkspaceId, _WorkspaceQueue] = field(default_factory=dict)
 
 
-class Admission:
+class AdmissionController:
     """Shares the slots of each pool fairly among workspaces.
 
     A free slot goes to the workspace that holds the least for its share; inside
@@ -131,10 +131,10 @@
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
         self._pools: dict[str, _PoolState] = {}
-        self._running: dict[RequestId, _Running] = {}
+        self._running: dict[RequestId, _RunningRequest] = {}
         self._queued: dict[RequestId, tuple[str, WorkspaceId]] = {}
         self._in_flight: dict[WorkspaceId, int] = {}
-        self._order = count()
+        self._arrival_numbers = count()
 
     @property
     def queued(self) -> int:
@@ -173,18 +173,20 @@
             What it needs capacity of.
         """
         state = self._find_pool(pool)
-        row = state.rows.setdefault(workspace.key, _Row(workspace))
-        row.workspace = workspace
-        waiting = _Waiting(request, priority, next(self._order), deadline)
-        if not _count_ahead(row, waiting) and self._has_room(state, row):
-            self._start(pool, state, row, request, now)
+        queue = state.queues.setdefault(workspace.key, _WorkspaceQueue(workspace))
+        queue.workspace = workspace
+        waiting = _QueuedRequest(
+            request, priority, next(self._arrival_numbers), deadline
+        )
+        if not _count_ahead(queue, waiting) and self._has_free_slot(state, queue):
+            self._start(pool, state, queue, request, now)
             return Admitted()
-        wait = _estimate_wait(state, row, _count_ahead(row, waiting))
+        wait = _estimate_wait(state, queue, _count_ahead(queue, waiting))
         if now + wait > deadline:
-            return self._refuse(Code.DEADLINE_EXCEEDED, state, row)
+            return self._refuse(Code.DEADLINE_EXCEEDED, state, queue)
         if wait > self.settings.max_wait_seconds:
-            return self._refuse(self._explain(row), state, row)
-        return self._enqueue(pool, state, row, waiting)
+            return self._refuse(self._find_refusal_code(queue), state, queue)
+        return self._enqueue(pool, state, queue, waiting)
 
     def release(self, request: RequestId, now: Seconds) -> tuple[RequestId, ...]:
         """Give a slot back.
@@ -199,10 +201,10 @@
             return ()
         state = self._pools[running.pool]
         state.in_flight -= 1
-        state.rows[running.workspace].in_flight -= 1
+        state.queues[running.workspace].in_flight -= 1
         self._in_flight[running.workspace] -= 1
-        change = now - running.since - state.service_seconds
-        state.service_seconds += SERVICE_WEIGHT * change
+        change = now - running.started_at - state.service_seconds
+        state.service_seconds += SERVICE_TIME_SMOOTHING * change
         return self._admit_queued(now)
 
     def cancel(self, request: RequestId, now: Seconds) -> tuple[RequestId, ...]:
@@ -214,7 +216,7 @@
             Queued requests that run now.
         """
         if request in self._queued:
-            self._drop(request)
+            self._dequeue(request)
             return ()
         return self.release(request, now)
 
@@ -226,16 +228,16 @@
         tuple of RequestId
             They are to be refused at once.
         """
-        late = [
+        expired = [
             waiting.id
             for state in self._pools.values()
-            for row in state.rows.values()
-            for waiting in row.queue
+            for queue in state.queues.values()
+            for waiting in queue.requests
             if waiting.deadline <= now
         ]
-        for request in late:
-            self._drop(request)
-        return tuple(late)
+        for request in expired:
+            self._dequeue(request)
+        return tuple(expired)
 
     def set_limit(self, pool: str, limit: int, now: Seconds) -> tuple[RequestId, ...]:
         """Set how many requests run at once in a pool.
@@ -251,8 +253,8 @@
     def estimate_retry_after(self, pool: str = DEFAULT_POOL) -> float:
         """Estimate in how many seconds the pool's queue is worked off."""
         state = self._find_pool(pool)
-        waiting = sum(len(row.queue) for row in state.rows.values())
-        return _clip((waiting + 1) * state.service_seconds / state.limit)
+        waiting = sum(len(queue.requests) for queue in state.queues.values())
+        return _clamp_retry_after((waiting + 1) * state.service_seconds / state.limit)
 
     def _find_pool(self, pool: str) -> _PoolState:
         """Find or make the state of a pool."""
@@ -262,85 +264,96 @@
             self._pools[pool] = state
         return state
 
-    def _has_room(self, state: _PoolState, row: _Row) -> bool:
+    def _has_free_slot(self, state: _PoolState, queue: _WorkspaceQueue) -> bool:
         """Whether the pool and the workspace may run one more."""
-        if self._in_flight.get(row.workspace.key, 0) >= row.workspace.max_in_flight:
+        if self._in_flight.get(queue.workspace.key, 0) >= queue.workspace.max_in_flight:
             return False
         limit = state.limit
-        if row.in_flight < _count_slots(state, row):
-            limit += ceil(limit * RESERVE)
+        if queue.in_flight < _compute_fair_share(state, queue):
+            limit += ceil(limit * RESERVE_RATIO)
         return state.in_flight < limit
 
     def _start(
         self,
         pool: str,
         state: _PoolState,
-        row: _Row,
+        queue: _WorkspaceQueue,
         request: RequestId,
         now: Seconds,
     ) -> None:
         """Give a slot to a request."""
-        workspace = row.workspace.key
+        workspace = queue.workspace.key
         state.in_flight += 1
-        row.in_flight += 1
+        queue.in_flight += 1
         self._in_flight[workspace] = self._in_flight.get(workspace, 0) + 1
-        self._running[request] = _Running(pool, workspace, now)
+        self._running[request] = _RunningRequest(pool, workspace, now)
 
     def _enqueue(
-        self, pool: str, state: _PoolState, row: _Row, waiting: _Waiting
+        self,
+        pool: str,
+        state: _PoolState,
+        queue: _WorkspaceQueue,
+        waiting: _QueuedRequest,
     ) -> Queued | Refused:
         """Put a request in its workspace's queue, at the place of its priority."""
         displaced: tuple[RequestId, ...] = ()
-        if len(row.queue) >= self.settings.max_queued:
-            last = row.queue[-1]
+        if len(queue.requests) >= self.settings.max_queued:
+            last = queue.requests[-1]
             if last.priority <= waiting.priority:
-                return self._refuse(self._explain(row), state, row)
-            self._drop(last.id)
+                return self._refuse(self._find_refusal_code(queue), state, queue)
+            self._dequeue(last.id)
             displaced = (last.id,)
-        row.queue.insert(_count_ahead(row, waiting), waiting)
-        self._queued[waiting.id] = (pool, row.workspace.key)
+        queue.requests.insert(_count_ahead(queue, waiting), waiting)
+        self._queued[waiting.id] = (pool, queue.workspace.key)
         return Queued(displaced)
 
     def _admit_queued(self, now: Seconds) -> tuple[RequestId, ...]:
         """Fill the free slots from the queues."""
         started: list[RequestId] = []
         for pool, state in self._pools.items():
-            while (row := self._choose_row(state)) is not None:
-                waiting = row.queue.pop(0)
+            while (queue := self._choose_queue(state)) is not None:
+                waiting = queue.requests.pop(0)
                 del self._queued[waiting.id]
-                self._start(pool, state, row, waiting.id, now)
+                self._start(pool, state, queue, waiting.id, now)
                 started.append(waiting.id)
         return tuple(started)
 
-    def _choose_row(self, state: _PoolState) -> _Row | None:
+    def _choose_queue(self, state: _PoolState) -> _WorkspaceQueue | None:
         """Choose the workspace that holds the least for its share."""
-        rows = [
-            row
-            for row in state.rows.values()
-            if row.queue and self._has_room(state, row)
+        queues = [
+            queue
+            for queue in state.queues.values()
+            if queue.requests and self._has_free_slot(state, queue)
         ]
         return min(
-            rows,
-            key=lambda row: (row.in_flight / row.workspace.share, row.queue[0].order),
+            queues,
+            key=lambda queue: (
+                queue.in_flight / queue.workspace.share,
+                queue.requests[0].arrival_number,
+            ),
             default=None,
         )
 
-    def _drop(self, request: RequestId) -> None:
+    def _dequeue(self, request: RequestId) -> None:
         """Take a request out of its queue."""
         pool, workspace = self._queued.pop(request)
-        row = self._pools[pool].rows[workspace]
-        row.queue = [waiting for waiting in row.queue if waiting.id != request]
+        queue = self._pools[pool].queues[workspace]
+        queue.requests = [
+            waiting for waiting in queue.requests if waiting.id != request
+        ]
 
-    def _explain(self, row: _Row) -> Code:
+    def _find_refusal_code(self, queue: _WorkspaceQueue) -> Code:
         """Say whether the workspace's own limit or the load is in the way."""
-        running = self._in_flight.get(row.workspace.key, 0)
-        if running >= row.workspace.max_in_flight:
+        running = self._in_flight.get(queue.workspace.key, 0)
+        if running >= queue.workspace.max_in_flight:
             return Code.WORKSPACE_LIMIT
         return Code.OVERLOADED
 
-    def _refuse(self, code: Code, state: _PoolState, row: _Row) -> Refused:
+    def _refuse(self, code: Code, state: _PoolState, queue: _WorkspaceQueue) -> Refused:
         """Refuse, with the time until the workspace's queue is worked off."""
-        return Refused(code, _clip(_estimate_wait(state, row, len(row.queue))))
+        return Refused(
+            code, _clamp_retry_after(_estimate_wait(state, queue, len(queue.requests)))
+        )
 
 
 def compute_limit(
@@ -369,36 +382,39 @@
     return max(1, round(max(share, in_flight + spare)))
 
 
-def _count_ahead(row: _Row, waiting: _Waiting) -> int:
+def _count_ahead(queue: _WorkspaceQueue, waiting: _QueuedRequest) -> int:
     """Count the queued requests of the workspace that go first."""
-    for position, other in enumerate(row.queue):
-        if (other.priority, other.order) > (waiting.priority, waiting.order):
+    for position, other in enumerate(queue.requests):
+        if (other.priority, other.arrival_number) > (
+            waiting.priority,
+            waiting.arrival_number,
+        ):
             return position
-    return len(row.queue)
+    return len(queue.requests)
 
 
-def _count_slots(state: _PoolState, row: _Row) -> float:
+def _compute_fair_share(state: _PoolState, queue: _WorkspaceQueue) -> float:
     """Count the slots that are the workspace's share of a pool."""
     active = sum(
         other.workspace.share
-        for other in state.rows.values()
-        if other.queue or other.in_flight or other is row
+        for other in state.queues.values()
+        if other.requests or other.in_flight or other is queue
     )
-    return max(1.0, state.limit * row.workspace.share / active)
+    return max(1.0, state.limit * queue.workspace.share / active)
 
 
-def _estimate_wait(state: _PoolState, row: _Row, ahead: int) -> float:
+def _estimate_wait(state: _PoolState, queue: _WorkspaceQueue, ahead: int) -> float:
     """Estimate how long a request with so many ahead of it waits, in seconds.
 
     Up to its share the workspace gets every slot that comes free; beyond it, only
     those that it frees itself.
     """
-    slots = min(_count_slots(state, row), row.workspace.max_in_flight)
-    fast = min(ahead + 1.0, max(0.0, slots - row.in_flight))
-    slow = ahead + 1.0 - fast
-    return (fast / state.limit + slow / slots) * state.service_seconds
+    slots = min(_compute_fair_share(state, queue), queue.workspace.max_in_flight)
+    within_share = min(ahead + 1.0, max(0.0, slots - queue.in_flight))
+    beyond_share = ahead + 1.0 - within_share
+    return (within_share / state.limit + beyond_share / slots) * state.service_seconds
 
 
-def _clip(seconds: float) -> float:
+def _clamp_retry_after(seconds: float) -> float:
     """Keep a retry delay within its bounds."""
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
--- a/packages/core/src/bergamotwood_core/allocation.py
+++ b/packages/core/src/bergamotwood_core/allocation.py
@@ -3,16 +3,21 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from bergamotwood_core.frontier import Option, drop_poor, find_slope, trace_hull
+from bergamotwood_core.frontier import (
+    Option,
+    compute_hull,
+    compute_slope,
+    filter_low_quality,
+)
 
 # Price of a rating while there are enough, as a share of the least cost.
-LEAST_PRICE = 0.02
+MIN_RATING_PRICE_SHARE = 0.02
 # Steps of the search for the price of a rating.
-PRICE_STEPS = 6
+PRICE_SEARCH_STEPS = 6
 
 
 @dataclass(frozen=True, slots=True)
-class Mix:
+class OptionMix:
     """Two options of one class; `share` of the requests take the higher one."""
 
     low: Option
@@ -24,9 +29,9 @@
     options: Sequence[Sequence[Option]],
     weights: Sequence[float],
     target: float,
-    ratings: float,
-    ample: bool,
-) -> list[Mix]:
+    ratings_per_request: float,
+    allow_excess: bool,
+) -> list[OptionMix]:
     """Mixes of least cost at a mean quality, within a limit on ratings.
 
     Parameters
@@ -37,9 +42,9 @@
         Share of the requests in each class.
     target : float
         Wanted mean quality over all classes.
-    ratings : float
+    ratings_per_request : float
         Ratings that may be used for each request.
-    ample : bool
+    allow_excess : bool
         Whether saved ratings allow to go a little over that limit.
 
     Returns
@@ -48,24 +53,24 @@
         One for each class.
     """
     costs = [option.cost for listed in options for option in listed]
-    low, high = LEAST_PRICE * min(costs), max(costs)
+    low, high = MIN_RATING_PRICE_SHARE * min(costs), max(costs)
     over = _allocate_at_price(options, weights, target, low)
-    if _count_ratings(over, weights) <= ratings:
+    if _count_ratings(over, weights) <= ratings_per_request:
         return over
     within = find_unrated_mixes(options, weights, target)
-    for _ in range(PRICE_STEPS):
+    for _ in range(PRICE_SEARCH_STEPS):
         price = 0.5 * (low + high)
         found = _allocate_at_price(options, weights, target, price)
-        if _count_ratings(found, weights) <= ratings:
+        if _count_ratings(found, weights) <= ratings_per_request:
             high, within = price, found
         else:
             low, over = price, found
-    return over if ample else within
+    return over if allow_excess else within
 
 
 def find_unrated_mixes(
     options: Sequence[Sequence[Option]], weights: Sequence[float], target: float
-) -> list[Mix]:
+) -> list[OptionMix]:
     """Mixes of least cost that need no ratings."""
     singles = [[o for o in listed if not o.ratings] for listed in options]
     return _allocate_at_price(singles, weights, target, 0.0)
@@ -73,7 +78,7 @@
 
 def allocate(
     hulls: Sequence[Sequence[Option]], weights: Sequence[float], target: float
-) -> list[Mix]:
+) -> list[OptionMix]:
     """Mix of options for each class, of least cost at a mean quality.
 
     Parameters
@@ -90,10 +95,10 @@
     list of Mix
         One for each class; the best quality there is if the target is too high.
     """
-    mixes = [Mix(hull[0], hull[0]) for hull in hulls]
+    mixes = [OptionMix(hull[0], hull[0]) for hull in hulls]
     quality = sum(w * m.low.quality for w, m in zip(weights, mixes, strict=True))
     segments = sorted(
-        (find_slope(low, high), index, low, high)
+        (compute_slope(low, high), index, low, high)
         for index, hull in enumerate(hulls)
         for low, high in _list_neighbours(hull)
     )
@@ -102,7 +107,7 @@
             break
         gain = weights[index] * (high.quality - low.quality)
         share = min(1.0, (target - quality) / gain) if gain > 0.0 else 1.0
-        mixes[index] = Mix(low, high, share)
+        mixes[index] = OptionMix(low, high, share)
         quality += gain * share
     return mixes
 
@@ -112,12 +117,15 @@
     weights: Sequence[float],
     target: float,
     rating_price: float,
-) -> list[Mix]:
-    hulls = [trace_hull(drop_poor(listed, target), rating_price) for listed in options]
+) -> list[OptionMix]:
+    hulls = [
+        compute_hull(filter_low_quality(listed, target), rating_price)
+        for listed in options
+    ]
     return allocate(hulls, weights, target)
 
 
-def _count_ratings(mixes: Sequence[Mix], weights: Sequence[float]) -> float:
+def _count_ratings(mixes: Sequence[OptionMix], weights: Sequence[float]) -> float:
     return sum(
         weight * (mix.low.ratings + mix.share * (mix.high.ratings - mix.low.ratings))
         for weight, mix in zip(weights, mixes, strict=True)
--- a/packages/core/src/bergamotwood_core/budget.py
+++ b/packages/core/src/bergamotwood_core/budget.py
@@ -3,11 +3,11 @@
 from bergamotwood_core.clock import Seconds
 
 # Requests that the moving average of the request rate remembers.
-RATE_MEMORY = 100.0
+RATE_WINDOW_REQUESTS = 100.0
 # Factor on the rate after a refusal, and its recovery per second.
 REFUSAL_FACTOR = 0.5
 RECOVERY_PER_SECOND = 0.01
-LEAST_FACTOR = 0.02
+MIN_RATE_FACTOR = 0.02
 
 
 class RatingBudget:
@@ -25,29 +25,29 @@
         self.per_second = per_second
         self.burst = burst
         self._tokens = burst
-        self._factor = 1.0
+        self._rate_factor = 1.0
         self._filled_at: Seconds | None = None
         self._requested_at: Seconds | None = None
         self._interval = 0.0
 
     @property
-    def share(self) -> float:
+    def ratings_per_request(self) -> float:
         """Ratings that can be had for each request, at most."""
         if self._interval <= 0.0:
             return self.burst
-        return self.per_second * self._factor * self._interval
+        return self.per_second * self._rate_factor * self._interval
 
-    def find_level(self, now: Seconds) -> float:
+    def compute_fill_level(self, now: Seconds) -> float:
         """Share of the burst that is there."""
-        self._fill(now)
+        self._refill(now)
         return self._tokens / self.burst
 
     def count_request(self, now: Seconds) -> None:
         """Learn the rate of requests."""
         if self._requested_at is not None:
-            gap = now - self._requested_at
-            weight = 1.0 / RATE_MEMORY if self._interval else 1.0
-            self._interval += weight * (gap - self._interval)
+            elapsed = now - self._requested_at
+            weight = 1.0 / RATE_WINDOW_REQUESTS if self._interval else 1.0
+            self._interval += weight * (elapsed - self._interval)
         self._requested_at = now
 
     def take(self, now: Seconds, amount: float = 1.0) -> bool:
@@ -65,22 +65,24 @@
         bool
             Whether they were taken.
         """
-        self._fill(now)
+        self._refill(now)
         if self._tokens < 1.0:
             return False
         self._tokens -= amount
         return True
 
-    def refuse(self, now: Seconds) -> None:
+    def record_refusal(self, now: Seconds) -> None:
         """Note that the service refused a rating."""
-        self._fill(now)
+        self._refill(now)
         self._tokens = 0.0
-        self._factor = max(self._factor * REFUSAL_FACTOR, LEAST_FACTOR)
+        self._rate_factor = max(self._rate_factor * REFUSAL_FACTOR, MIN_RATE_FACTOR)
 
-    def _fill(self, now: Seconds) -> None:
+    def _refill(self, now: Seconds) -> None:
         if self._filled_at is not None:
-            gap = max(now - self._filled_at, 0.0)
-            self._factor = min(1.0, self._factor + RECOVERY_PER_SECOND * gap)
-            self._tokens += gap * self.per_second * self._factor
+            elapsed = max(now - self._filled_at, 0.0)
+            self._rate_factor = min(
+                1.0, self._rate_factor + RECOVERY_PER_SECOND * elapsed
+            )
+            self._tokens += elapsed * self.per_second * self._rate_factor
             self._tokens = min(self._tokens, self.burst)
         self._filled_at = now
--- a/packages/core/src/bergamotwood_core/cascade.py
+++ b/packages/core/src/bergamotwood_core/cascade.py
@@ -10,10 +10,10 @@
 from bergamotwood_core.budget import RatingBudget
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import NAME_PATTERN, Workspace
-from bergamotwood_core.estimate import Estimate, SelectionBias, find_bin, is_score
+from bergamotwood_core.estimate import Estimate, SelectionBias, find_bin, is_valid_score
 from bergamotwood_core.evidence import (
-    MAX_MESSAGE_CELLS,
-    CellKey,
+    MAX_MESSAGE_HISTOGRAMS,
+    EstimateKey,
     Evidence,
     EvidenceCollector,
     SequenceFilter,
@@ -21,39 +21,44 @@
 from bergamotwood_core.frontier import (
     THRESHOLDS,
     Option,
-    Prospect,
+    OptionParameters,
     Step,
-    Terms,
+    VersionForecast,
+    bound_quality,
     list_options,
-    weigh_quality,
 )
 from bergamotwood_core.ids import RequestClass, VersionId, WorkspaceId
-from bergamotwood_core.segment import Hope, Segment, SegmentKey, WorkspaceState
+from bergamotwood_core.segment import (
+    ExplorationCandidate,
+    Segment,
+    SegmentKey,
+    WorkspaceState,
+)
 from bergamotwood_core.usage import Candidate, Usage, UsageAverage
 
 SHORT_PROMPT_TOKENS = 512
 MEDIUM_PROMPT_TOKENS = 4_096
 # Quality believed of the dearest candidate and of the others before any rating.
-DEAREST_PRIOR = 0.9
-OTHERS_PRIOR = 0.6
+MOST_EXPENSIVE_PRIOR = 0.9
+DEFAULT_PRIOR = 0.6
 # Part of the way from one version to the best that the next one is believed to go.
-PRIOR_STEP = 0.25
+PRIOR_INTERPOLATION = 0.25
 # Share of the cost that a version has to save to be worth a try.
-LEAST_SAVING = 0.2
+MIN_SAVING_SHARE = 0.2
 # Quality that an answer loses on average when another version failed before.
 ESCALATION_LOSS = 0.05
 # Ratings that this belief counts as.
-ESCALATION_RATINGS = 5.0
+ESCALATION_PRIOR_WEIGHT = 5.0
 # Ratings with which a version counts as known.
-KNOWN_RATINGS = 40.0
+KNOWN_QUALITY_RATINGS = 40.0
 # Share of the ratings that is for samples.
-SAMPLE_RESERVE = 0.12
+SAMPLE_BUDGET_SHARE = 0.12
 # Share of the answers that were rated before that are rated again.
-REPEAT_SHARE = 0.05
-MAX_CELLS = 4_096
+REPEAT_RATING_SHARE = 0.05
+MAX_ESTIMATES = 4_096
 MAX_WORKSPACES = 1_024
 # Level of the rating budget above which more is spent than comes in.
-AMPLE_LEVEL = 0.5
+SURPLUS_BUDGET_LEVEL = 0.5
 
 
 def classify_request(prompt_tokens: int, explicit: str | None = None) -> RequestClass:
@@ -85,11 +90,11 @@
         Share of the answers of little-known quality that are rated afterwards.
     explore_share : float
         Share of the requests that try a version which may save all of the cost.
-    hope : float
+    exploration_bonus : float
         Standard errors by which such a version may be better.
-    caution : float
+    uncertainty_penalty : float
         Standard errors that unrated quality is lowered by.
-    margin : float
+    quality_margin : float
         Quality aimed at above the target.
     replan_seconds : float
         Age at which a workspace's allocation is made anew.
@@ -101,14 +106,14 @@
     rating_seconds: float = 0.5
     sample_share: float = 0.2
     explore_share: float = 0.5
-    hope: float = 1.5
-    caution: float = 0.25
-    margin: float = 0.006
+    exploration_bonus: float = 1.5
+    uncertainty_penalty: float = 0.25
+    quality_margin: float = 0.006
     replan_seconds: float = 10.0
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class CascadePlan:
     """Steps to try in order; the last one is returned whatever it gives."""
 
     steps: tuple[Step, ...] = ()
@@ -127,12 +132,12 @@
 
     def __init__(self, settings: CascadeSettings, rng: Random) -> None:
         self.settings = settings
-        kept = SAMPLE_RESERVE
+        kept = SAMPLE_BUDGET_SHARE
         rate, burst = settings.ratings_per_second, settings.rating_burst
         self.budget = RatingBudget(rate * (1.0 - kept), burst * (1.0 - kept))
-        self.samples = RatingBudget(rate * kept, max(burst * kept, 1.0))
+        self.sample_budget = RatingBudget(rate * kept, max(burst * kept, 1.0))
         self._rng = rng
-        self._cells: OrderedDict[CellKey, Estimate] = OrderedDict()
+        self._estimates: OrderedDict[EstimateKey, Estimate] = OrderedDict()
         self._usage: OrderedDict[tuple[RequestClass, VersionId], UsageAverage] = (
             OrderedDict()
         )
@@ -149,7 +154,7 @@
         prompt_tokens: int,
         now: Seconds,
         deadline: Seconds | None = None,
-    ) -> Plan:
+    ) -> CascadePlan:
         """Plan the steps for one request.
 
         Parameters
@@ -173,18 +178,20 @@
         allowed = set(workspace.versions)
         usable = [c for c in candidates if c.version in allowed]
         if not usable:
-            return Plan()
+            return CascadePlan()
         state = self._find_state(workspace.key)
         segment = state.find_segment(request_class, usable)
         state.count_request(segment, prompt_tokens)
         self.budget.count_request(now)
         if segment.mix is None or now - state.planned_at > self.settings.replan_seconds:
             self._allocate(workspace, state, now)
-        option = self._draw_option(segment, now)
-        steps = self._explore(workspace, request_class, segment, option, now)
+        option = self._choose_option(segment, now)
+        steps = self._add_exploration_step(
+            workspace, request_class, segment, option, now
+        )
         if deadline is not None:
             steps = self._fit_deadline(steps, request_class, usable, deadline - now)
-        return Plan(steps)
+        return CascadePlan(steps)
 
     def record_answer(
         self, request_class: RequestClass, version: VersionId, usage: Usage
@@ -194,28 +201,28 @@
         average = self._usage.setdefault(key, UsageAverage())
         average.add(usage)
         self._usage.move_to_end(key)
-        if len(self._usage) > MAX_CELLS:
+        if len(self._usage) > MAX_ESTIMATES:
             self._usage.popitem(last=False)
 
-    def record_rating(self, key: CellKey, score: float, now: Seconds) -> None:
+    def record_rating(self, key: EstimateKey, score: float, now: Seconds) -> None:
         """Learn from one rating of this entry; an invalid score is dropped."""
-        if not is_score(score):
+        if not is_valid_score(score):
             return
         self.find_estimate(key).add(score)
         self._collector.add(key, find_bin(score), score)
 
     def record_refusal(self, now: Seconds) -> None:
         """Learn that the rating service refused."""
-        self.budget.refuse(now)
-        self.samples.refuse(now)
+        self.budget.record_refusal(now)
+        self.sample_budget.record_refusal(now)
 
-    def record_repeat(self, first: float, second: float) -> None:
+    def record_repeated_rating(self, first: float, second: float) -> None:
         """Learn from the second rating of an answer that was rated before."""
-        if is_score(first) and is_score(second):
+        if is_valid_score(first) and is_valid_score(second):
             self._selection_bias.add(first, second)
 
-    def record_return(
-        self, workspace: Workspace, key: CellKey, score: float | None
+    def record_returned_answer(
+        self, workspace: Workspace, key: EstimateKey, score: float | None
     ) -> None:
         """Learn which answer the caller got.
 
@@ -223,30 +230,34 @@
         ----------
         workspace : Workspace
             Whose request.
-        key : CellKey
+        key : EstimateKey
             What answered.
         score : float or None
             Rating with which it was accepted, if it was rated.
         """
         if score is None:
             estimate = self.find_estimate(key)
-            quality = weigh_quality(estimate, self.settings.caution)
+            quality = bound_quality(estimate, self.settings.uncertainty_penalty)
         else:
             quality = score - self._selection_bias.value
         state = self._find_state(workspace.key)
-        state.count_quality(quality, workspace.quality_target + self.settings.margin)
+        state.record_quality(
+            quality, workspace.quality_target + self.settings.quality_margin
+        )
 
-    def should_sample(self, key: CellKey, now: Seconds, rated: bool = False) -> bool:
+    def should_sample(
+        self, key: EstimateKey, now: Seconds, rated: bool = False
+    ) -> bool:
         """Whether an answer that was returned should be rated afterwards.
 
         Parameters
         ----------
-        key : CellKey
+        key : EstimateKey
             What answered.
         now : Seconds
             The time.
         rated : bool
-            Whether it was rated before; the answer goes to `record_repeat` then.
+            Whether it was rated before; pass its score to `record_repeated_rating`.
 
         Returns
         -------
@@ -254,9 +265,9 @@
             True for a share that falls as the quality becomes known.
         """
         weight = self.find_estimate(key).weight
-        chance = REPEAT_SHARE
+        chance = REPEAT_RATING_SHARE
         if not rated:
-            chance = self.settings.sample_share * 2.0 * KNOWN_RATINGS / weight
+            chance = self.settings.sample_share * 2.0 * KNOWN_QUALITY_RATINGS / weight
         if self._rng.random() >= chance:
             return False
         return self._take_sample(weight, now)
@@ -271,19 +282,19 @@
             return
         if not self._filter.accept(evidence.source, evidence.sequence):
             return
-        for cell in evidence.cells[:MAX_MESSAGE_CELLS]:
-            estimate = self.find_estimate(cell.key)
-            for score in cell.list_scores():
+        for histogram in evidence.histograms[:MAX_MESSAGE_HISTOGRAMS]:
+            estimate = self.find_estimate(histogram.key)
+            for score in histogram.list_scores():
                 estimate.add(score)
 
-    def find_estimate(self, key: CellKey) -> Estimate:
+    def find_estimate(self, key: EstimateKey) -> Estimate:
         """Find the estimate of a cell, made with its prior if it is new."""
-        estimate = self._cells.get(key)
+        estimate = self._estimates.get(key)
         if estimate is None:
-            estimate = self._cells[key] = Estimate(OTHERS_PRIOR)
-            if len(self._cells) > MAX_CELLS:
-                self._cells.popitem(last=False)
-        self._cells.move_to_end(key)
+            estimate = self._estimates[key] = Estimate(DEFAULT_PRIOR)
+            if len(self._estimates) > MAX_ESTIMATES:
+                self._estimates.popitem(last=False)
+        self._estimates.move_to_end(key)
         return estimate
 
     def _find_state(self, workspace: WorkspaceId) -> WorkspaceState:
@@ -298,15 +309,19 @@
     ) -> None:
         options = self._list_options(workspace, state)
         weights = state.list_weights()
-        target = workspace.quality_target + self.settings.margin + state.correction
-        ample = self.budget.find_level(now) > AMPLE_LEVEL
-        mixes = find_mixes(options, weights, target, self.budget.share, ample)
+        target = (
+            workspace.quality_target + self.settings.quality_margin + state.correction
+        )
+        allow_excess = self.budget.compute_fill_level(now) > SURPLUS_BUDGET_LEVEL
+        mixes = find_mixes(
+            options, weights, target, self.budget.ratings_per_request, allow_excess
+        )
         unrated = find_unrated_mixes(options, weights, target)
         for segment, mix, spare in zip(
             state.segments.values(), mixes, unrated, strict=True
         ):
             segment.mix = mix
-            segment.unrated = spare
+            segment.unrated_mix = spare
         state.planned_at = now
 
     def _list_options(
@@ -320,62 +335,66 @@
     def _list_segment_options(
         self, workspace: Workspace, key: SegmentKey, segment: Segment
     ) -> list[Option]:
-        prospects: list[Prospect] = []
-        prior = OTHERS_PRIOR
+        forecasts: list[VersionForecast] = []
+        prior = DEFAULT_PRIOR
         for candidate in segment.candidates:
             if candidate is segment.candidates[-1]:
-                prior = max(prior, DEAREST_PRIOR)
-            prospect = self._weigh_candidate(
+                prior = max(prior, MOST_EXPENSIVE_PRIOR)
+            forecast = self._forecast_version(
                 workspace, key.request_class, segment, candidate, prior
             )
-            prospects.append(prospect)
-            mean = max(OTHERS_PRIOR, prospect.fresh.mean)
-            prior = mean + PRIOR_STEP * max(DEAREST_PRIOR - mean, 0.0)
-        segment.hopes = [self._find_hope(prospect) for prospect in prospects]
-        terms = Terms(
+            forecasts.append(forecast)
+            mean = max(DEFAULT_PRIOR, forecast.direct.mean)
+            prior = mean + PRIOR_INTERPOLATION * max(MOST_EXPENSIVE_PRIOR - mean, 0.0)
+        segment.exploration_candidates = [
+            self._make_exploration_candidate(forecast) for forecast in forecasts
+        ]
+        parameters = OptionParameters(
             latency_weight=workspace.latency_weight,
             rating_seconds=self.settings.rating_seconds,
             selection_bias=self._selection_bias.value,
-            caution=self.settings.caution,
+            uncertainty_penalty=self.settings.uncertainty_penalty,
         )
-        return list_options(prospects, terms)
+        return list_options(forecasts, parameters)
 
-    def _find_hope(self, prospect: Prospect) -> Hope:
-        quality = weigh_quality(prospect.fresh, -self.settings.hope)
-        return Hope(prospect.version, prospect.cost, quality)
+    def _make_exploration_candidate(
+        self, forecast: VersionForecast
+    ) -> ExplorationCandidate:
+        quality = bound_quality(forecast.direct, -self.settings.exploration_bonus)
+        return ExplorationCandidate(forecast.version, forecast.cost, quality)
 
-    def _weigh_candidate(
+    def _forecast_version(
         self,
         workspace: Workspace,
         request_class: RequestClass,
         segment: Segment,
         candidate: Candidate,
         prior: float,
-    ) -> Prospect:
+    ) -> VersionForecast:
         usage = self._usage.get((request_class, candidate.version), UsageAverage())
-        key = CellKey(workspace.key, request_class, candidate.version)
-        fresh = self.find_estimate(key)
-        fresh.prior_mean = prior
-        key = CellKey(workspace.key, request_class, candidate.version, True)
+        key = EstimateKey(workspace.key, request_class, candidate.version)
+        direct = self.find_estimate(key)
+        direct.prior_mean = prior
+        key = EstimateKey(workspace.key, request_class, candidate.version, True)
         escalated = self.find_estimate(key)
-        escalated.prior_mean = fresh.mean - ESCALATION_LOSS
-        escalated.prior_weight = ESCALATION_RATINGS
-        return Prospect(
+        escalated.prior_mean = direct.mean - ESCALATION_LOSS
+        escalated.prior_weight = ESCALATION_PRIOR_WEIGHT
+        return VersionForecast(
             version=candidate.version,
-            cost=candidate.price(segment.prompt_tokens, usage.output_tokens),
+            cost=candidate.compute_cost(segment.prompt_tokens, usage.output_tokens),
             first_token_seconds=candidate.first_token_seconds,
             total_seconds=candidate.first_token_seconds + usage.decode_seconds,
-            fresh=fresh,
+            direct=direct,
             escalated=escalated,
         )
 
-    def _draw_option(self, segment: Segment, now: Seconds) -> Option:
-        option = segment.draw_rated()
+    def _choose_option(self, segment: Segment, now: Seconds) -> Option:
+        option = segment.choose_rated_option()
         if not option.ratings or self.budget.take(now, option.ratings):
             return option
-        return segment.draw_unrated()
+        return segment.choose_unrated_option()
 
-    def _explore(
+    def _add_exploration_step(
         self,
         workspace: Workspace,
         request_class: RequestClass,
@@ -384,25 +403,25 @@
         now: Seconds,
     ) -> tuple[Step, ...]:
         steps = option.steps
-        hope, saving = segment.find_hope()
-        if hope is None:
+        candidate, saving = segment.find_exploration_candidate()
+        if candidate is None:
             return steps
         chance = self.settings.explore_share * saving
-        if saving < LEAST_SAVING or self._rng.random() >= chance:
+        if saving < MIN_SAVING_SHARE or self._rng.random() >= chance:
             return steps
-        if hope.version == steps[-1].version:
+        if candidate.version == steps[-1].version:
             return steps[-1:]
-        key = CellKey(workspace.key, request_class, hope.version)
+        key = EstimateKey(workspace.key, request_class, candidate.version)
         if not self._take_sample(self.find_estimate(key).weight, now):
             return steps
         threshold = min(workspace.quality_target, max(THRESHOLDS))
-        kept = tuple(step for step in steps if step.version != hope.version)
-        return (Step(hope.version, True, threshold), *kept)
+        kept = tuple(step for step in steps if step.version != candidate.version)
+        return (Step(candidate.version, True, threshold), *kept)
 
     def _take_sample(self, weight: float, now: Seconds) -> bool:
-        if self.samples.take(now):
+        if self.sample_budget.take(now):
             return True
-        return weight < KNOWN_RATINGS and self.budget.take(now)
+        return weight < KNOWN_QUALITY_RATINGS and self.budget.take(now)
 
     def _fit_deadline(
         self,
--- a/packages/core/src/bergamotwood_core/comparison.py
+++ b/packages/core/src/bergamotwood_core/comparison.py
@@ -12,9 +12,9 @@
 # Share of the current version's first tokens that count as slow, at most.
 SLOW_SHARE = 0.1
 # Standard errors that a baseline is raised by, as it is measured too.
-BASELINE_ERRORS = 1.0
+BASELINE_STANDARD_ERRORS = 1.0
 # Outcomes of the current version that make a baseline.
-MIN_BASELINE = 20
+MIN_BASELINE_OUTCOMES = 20
 
 
 class Metric(StrEnum):
@@ -51,7 +51,7 @@
     @property
     def bound(self) -> float:
         """Mean loss that a candidate may have."""
-        raised = self.mean + BASELINE_ERRORS * self.error
+        raised = self.mean + BASELINE_STANDARD_ERRORS * self.error
         return raised + TOLERANCES[self.metric]
 
 
@@ -60,9 +60,9 @@
     slow_bin = _find_slow_bin(current)
     baselines: list[Baseline] = []
     for metric in Metric:
-        losses = list_losses(metric, current, ArmCounts(), slow_bin, settled=True)
+        losses = list_losses(metric, current, ArmCounts(), slow_bin, finished_only=True)
         count = sum(loss.count for loss in losses)
-        if count < MIN_BASELINE:
+        if count < MIN_BASELINE_OUTCOMES:
             continue
         mean = sum(loss.value * loss.count for loss in losses) / count
         squares = sum(loss.value**2 * loss.count for loss in losses) / count
@@ -71,7 +71,9 @@
     return baselines
 
 
-def bet_on_harm(baseline: Baseline, candidate: ArmCounts, since: ArmCounts) -> float:
+def compute_harm_capital(
+    baseline: Baseline, candidate: ArmCounts, since: ArmCounts
+) -> float:
     """Capital against the claim that the candidate is no worse.
 
     Requests in flight count as good, so that failures that end early don't bias it.
@@ -80,10 +82,12 @@
     return bet_above(losses, baseline.bound)
 
 
-def bet_on_safety(baseline: Baseline, candidate: ArmCounts, margin: float) -> float:
+def compute_safety_capital(
+    baseline: Baseline, candidate: ArmCounts, margin: float
+) -> float:
     """Capital against the claim that the candidate is worse by a margin."""
     losses = list_losses(
-        baseline.metric, candidate, ArmCounts(), baseline.slow_bin, settled=True
+        baseline.metric, candidate, ArmCounts(), baseline.slow_bin, finished_only=True
     )
     return bet_below(losses, baseline.mean + margin)
 
@@ -93,7 +97,7 @@
     arm: ArmCounts,
     since: ArmCounts,
     slow_bin: int,
-    settled: bool = False,
+    finished_only: bool = False,
 ) -> list[Loss]:
     """Losses of one version on a metric.
 
@@ -105,7 +109,7 @@
         Counts now and at an earlier time; the losses are those in between.
     slow_bin : int
         First latency bin that counts as slow.
-    settled : bool
+    finished_only : bool
         Whether only finished requests count.
 
     Returns
@@ -113,15 +117,15 @@
     list of Loss
         Losses from 0 to 1.
     """
-    trials = arm.finished if settled else arm.started
+    trials = arm.finished if finished_only else arm.started
     trials -= since.finished
     match metric:
         case Metric.FAILURES:
-            return _split(arm.failed - since.failed, trials)
+            return _make_binary_losses(arm.failed - since.failed, trials)
         case Metric.LATENCY:
             slow = sum(arm.latencies[slow_bin:]) - sum(since.latencies[slow_bin:])
             failed = arm.failed - since.failed
-            return _split(slow, max(trials - failed, 0))
+            return _make_binary_losses(slow, max(trials - failed, 0))
         case Metric.QUALITY:
             return [
                 Loss(1.0 - (index + 0.5) / SCORE_BINS, count - before)
@@ -131,7 +135,7 @@
             ]
 
 
-def _split(bad: int, trials: int) -> list[Loss]:
+def _make_binary_losses(bad: int, trials: int) -> list[Loss]:
     return [Loss(1.0, bad), Loss(0.0, max(trials - bad, 0))]
 
 
@@ -145,10 +149,10 @@
     return 0
 
 
-def find_harm(
+def find_harmed_metric(
     baselines: Sequence[Baseline],
     candidate: ArmCounts,
-    starts: Sequence[tuple[float, ArmCounts]],
+    test_starts: Sequence[tuple[float, ArmCounts]],
     false_stop_rate: float,
 ) -> Metric | None:
     """Metric on which the candidate is shown to be worse, if there is one.
@@ -159,7 +163,7 @@
         The current version.
     candidate : ArmCounts
         The candidate.
-    starts : sequence of tuple
+    test_starts : sequence of tuple
         Weights, 1 in all, and counts from which the tests start.
     false_stop_rate : float
         Chance, at any time, of stopping a candidate that is no worse.
@@ -167,8 +171,8 @@
     limit = len(Metric) / false_stop_rate
     for baseline in baselines:
         capital = 0.0
-        for weight, since in starts:
-            capital += weight * bet_on_harm(baseline, candidate, since)
+        for weight, since in test_starts:
+            capital += weight * compute_harm_capital(baseline, candidate, since)
         if capital >= limit:
             return baseline.metric
     return None
--- a/packages/core/src/bergamotwood_core/directory.py
+++ b/packages/core/src/bergamotwood_core/directory.py
@@ -5,7 +5,7 @@
 
 from msgspec.structs import replace
 
-from bergamotwood_core.address import ENTRY_EXPIRY, choose_addresses
+from bergamotwood_core.address import ENTRY_EXPIRY_SECONDS, choose_addresses
 from bergamotwood_core.announcement import decode_announcement
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import EndpointId, InstanceId
@@ -24,9 +24,9 @@
 ]
 
 # Seconds without a word after which an endpoint is taken out.
-ENDPOINT_EXPIRY = 5.0
+ENDPOINT_EXPIRY_SECONDS = 5.0
 # Seconds for which the last word of a departed one is remembered.
-DEPARTURE_RETENTION = 600.0
+DEPARTURE_RETENTION_SECONDS = 600.0
 # Entities that a table holds at most.
 MAX_ENDPOINTS = 8_192
 MAX_ENTRIES = 2_048
@@ -66,12 +66,12 @@
     if announcement.incarnation < known.incarnation:
         return False
     if announcement.incarnation > known.incarnation:
-        _put_endpoint(tables, announcement, now)
+        _replace_endpoint(tables, announcement, now)
         return True
     if not endpoint.serving:
         return False
     if announcement.sequence <= known.sequence:
-        return _merge_late_leaving(tables, endpoint, announcement)
+        return _merge_late_departure(tables, endpoint, announcement)
     if not _has_same_membership(known, announcement):
         tables.membership += 1
     endpoint.announcement = announcement
@@ -141,7 +141,9 @@
 
 
 def expire_endpoints(
-    tables: DirectoryTables, now: Seconds, expiry: float = ENDPOINT_EXPIRY
+    tables: DirectoryTables,
+    now: Seconds,
+    expiry_seconds: float = ENDPOINT_EXPIRY_SECONDS,
 ) -> tuple[EndpointId, ...]:
     """Take out the endpoints that were not heard for some time.
 
@@ -151,7 +153,7 @@
         Changed in place.
     now : Seconds
         The time.
-    expiry : float
+    expiry_seconds : float
         Seconds without a word.
 
     Returns
@@ -159,25 +161,25 @@
     tuple of EndpointId
         What was taken out.
     """
-    silent = [
+    expired = [
         endpoint
         for endpoint in tables.endpoints.values()
-        if now - endpoint.heard_at > expiry
+        if now - endpoint.heard_at > expiry_seconds
     ]
-    for endpoint in silent:
-        word = endpoint.announcement
+    for endpoint in expired:
+        message = endpoint.announcement
         departure = Departure(
-            word.incarnation, word.sequence, not endpoint.serving, now
+            message.incarnation, message.sequence, not endpoint.serving, now
         )
         del tables.endpoints[endpoint.id]
         tables.membership += 1
-        _keep_departure(tables.departed_endpoints, endpoint.id, departure)
-    _forget_departures(tables.departed_endpoints, now)
-    return tuple(endpoint.id for endpoint in silent)
+        _record_departure(tables.departed_endpoints, endpoint.id, departure)
+    _expire_departures(tables.departed_endpoints, now)
+    return tuple(endpoint.id for endpoint in expired)
 
 
 def expire_entries(
-    tables: DirectoryTables, now: Seconds, expiry: float = ENTRY_EXPIRY
+    tables: DirectoryTables, now: Seconds, expiry_seconds: float = ENTRY_EXPIRY_SECONDS
 ) -> tuple[InstanceId, ...]:
     """Take out the entries that were not heard for some time.
 
@@ -187,7 +189,7 @@
         Changed in place.
     now : Seconds
         The time.
-    expiry : float
+    expiry_seconds : float
         Seconds without a word.
 
     Returns
@@ -195,18 +197,18 @@
     tuple of InstanceId
         What was taken out.
     """
-    silent = [
+    expired = [
         entry.report
         for entry in tables.entries.values()
-        if now - entry.heard_at > expiry
+        if now - entry.heard_at > expiry_seconds
     ]
-    for report in silent:
+    for report in expired:
         leaving = report.state is EntryState.DRAINING
         departure = Departure(report.incarnation, report.sequence, leaving, now)
         del tables.entries[report.id]
-        _keep_departure(tables.departed_entries, report.id, departure)
-    _forget_departures(tables.departed_entries, now)
-    return tuple(report.id for report in silent)
+        _record_departure(tables.departed_entries, report.id, departure)
+    _expire_departures(tables.departed_entries, now)
+    return tuple(report.id for report in expired)
 
 
 def _has_same_membership(before: Announcement, after: Announcement) -> bool:
@@ -219,14 +221,14 @@
     )
 
 
-def _put_endpoint(
+def _replace_endpoint(
     tables: DirectoryTables, announcement: Announcement, now: Seconds
 ) -> None:
     tables.endpoints[announcement.id] = Endpoint(announcement, now)
     tables.membership += 1
 
 
-def _merge_late_leaving(
+def _merge_late_departure(
     tables: DirectoryTables, endpoint: Endpoint, announcement: Announcement
 ) -> bool:
     if announcement.state is not EndpointState.LEAVING:
@@ -245,7 +247,7 @@
     if len(tables.endpoints) >= MAX_ENDPOINTS:
         return False
     tables.departed_endpoints.pop(announcement.id, None)
-    _put_endpoint(tables, announcement, now)
+    _replace_endpoint(tables, announcement, now)
     return True
 
 
@@ -260,13 +262,13 @@
     return True
 
 
-def _is_newer(word: Announcement | EntryReport, departure: Departure) -> bool:
-    if word.incarnation != departure.incarnation:
-        return word.incarnation > departure.incarnation
-    return not departure.leaving and word.sequence > departure.sequence
+def _is_newer(message: Announcement | EntryReport, departure: Departure) -> bool:
+    if message.incarnation != departure.incarnation:
+        return message.incarnation > departure.incarnation
+    return not departure.leaving and message.sequence > departure.sequence
 
 
-def _keep_departure(
+def _record_departure(
     departures: dict[Key, Departure], key: Key, departure: Departure
 ) -> None:
     departures.pop(key, None)
@@ -275,9 +277,9 @@
         del departures[next(iter(departures))]
 
 
-def _forget_departures(departures: dict[Key, Departure], now: Seconds) -> None:
+def _expire_departures(departures: dict[Key, Departure], now: Seconds) -> None:
     while departures:
         key = next(iter(departures))
-        if now - departures[key].at <= DEPARTURE_RETENTION:
+        if now - departures[key].at <= DEPARTURE_RETENTION_SECONDS:
             return
         del departures[key]
--- a/packages/core/src/bergamotwood_core/dispatch.py
+++ b/packages/core/src/bergamotwood_core/dispatch.py
@@ -3,7 +3,7 @@
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.errors import AuthorizationError, Code, RefusedError
 from bergamotwood_core.ids import EndpointId, Fingerprint, VersionId, WorkspaceId
-from bergamotwood_core.quarantine import Isolated, Ordinary, require_clearance
+from bergamotwood_core.quarantine import Isolated, Unsuspected, require_clearance
 from bergamotwood_core.states import VersionState
 from bergamotwood_core.tables import (
     ConfigurationTables,
@@ -24,7 +24,7 @@
     config_age: Seconds,
     max_config_age: Seconds,
     fingerprint: Fingerprint,
-) -> Ordinary | Isolated:
+) -> Unsuspected | Isolated:
     """Check everything that may have changed since a request was admitted.
 
     Every attempt is new work: a cascade step, a retry, a hedge and a resumed
@@ -47,7 +47,7 @@
 
     Returns
     -------
-    Ordinary or Isolated
+    Unsuspected or Isolated
         How the attempt may run.
 
     Raises
@@ -98,9 +98,9 @@
     """Check that an endpoint still takes work for the target."""
     endpoint = directory.endpoints.get(id_)
     if endpoint is None or not endpoint.serving:
-        raise _refuse_endpoint(f"endpoint {id_} has left")
+        raise _make_endpoint_error(f"endpoint {id_} has left")
     if not _runs_target(endpoint, target):
-        raise _refuse_endpoint(f"endpoint {id_} has not loaded {target.name}")
+        raise _make_endpoint_error(f"endpoint {id_} has not loaded {target.name}")
 
 
 def _runs_target(endpoint: Endpoint, target: Target) -> bool:
@@ -108,6 +108,6 @@
     return target.name in endpoint.announcement.versions
 
 
-def _refuse_endpoint(detail: str) -> RefusedError:
+def _make_endpoint_error(detail: str) -> RefusedError:
     """Make the refusal of an endpoint; another one may do."""
     return RefusedError(detail, Code.NO_ENDPOINT)
--- a/packages/core/src/bergamotwood_core/estimate.py
+++ b/packages/core/src/bergamotwood_core/estimate.py
@@ -7,13 +7,13 @@
 
 SCORE_BINS = 20
 # Ratings that the long-run estimate remembers, as a forgetting time constant.
-MEMORY_RATINGS = 300.0
+RATING_TIME_CONSTANT = 300.0
 # Newest ratings that are compared with the long-run estimate.
 RECENT_RATINGS = 12
 # Standard errors between the newest ratings and the long run that mean a change.
-CHANGE_LIMIT = 3.5
+CHANGE_THRESHOLD_ERRORS = 3.5
 # Ratings that are kept at least when quality has changed.
-LEAST_CHANGED = 4
+MIN_RATINGS_AFTER_CHANGE = 4
 # Ratings that a prior counts as.
 PRIOR_RATINGS = 4.0
 # Scores of a good and of a poor answer, as a prior has them.
@@ -30,7 +30,7 @@
     return min(int(score * SCORE_BINS), SCORE_BINS - 1)
 
 
-def is_score(score: float) -> bool:
+def is_valid_score(score: float) -> bool:
     """Whether a number is a valid score; false for NaN."""
     return 0.0 <= score <= 1.0
 
@@ -104,11 +104,11 @@
 
     def add(self, score: float) -> None:
         """Take one rating in; forget the past when quality has changed."""
-        self.ratings.discount(1.0 - 1.0 / MEMORY_RATINGS)
+        self.ratings.discount(1.0 - 1.0 / RATING_TIME_CONSTANT)
         self.ratings.add(score)
         self.recent.append(score)
         if self._has_changed():
-            self._restart()
+            self._forget_before_change()
 
     @property
     def weight(self) -> float:
@@ -171,25 +171,25 @@
         newest = sum(self.recent)
         past = (sum(self.ratings.totals) - newest) / older
         error = sqrt(self._add_prior().variance * (1.0 / count + 1.0 / older))
-        return abs(newest / count - past) > CHANGE_LIMIT * error
+        return abs(newest / count - past) > CHANGE_THRESHOLD_ERRORS * error
 
-    def _restart(self) -> None:
+    def _forget_before_change(self) -> None:
         past = self.mean
-        kept = self._find_changed(past)
+        kept = self._find_scores_after_change(past)
         self.ratings = ScoreHistogram()
         self.recent.clear()
         self.recent.extend(kept)
         for score in kept:
             self.ratings.add(score)
 
-    def _find_changed(self, past: float) -> list[float]:
+    def _find_scores_after_change(self, past: float) -> list[float]:
         scores = list(self.recent)
 
         def contrast(start: int) -> float:
             count = len(scores) - start
             return abs(sum(scores[start:]) / count - past) * sqrt(count)
 
-        start = max(range(len(scores) - LEAST_CHANGED + 1), key=contrast)
+        start = max(range(len(scores) - MIN_RATINGS_AFTER_CHANGE + 1), key=contrast)
         return scores[start:]
 
 
@@ -211,7 +211,7 @@
 
     def add(self, first: float, second: float) -> None:
         """Take in two scores of one accepted answer."""
-        factor = 1.0 - 1.0 / MEMORY_RATINGS
+        factor = 1.0 - 1.0 / RATING_TIME_CONSTANT
         self.total = self.total * factor + first - second
         self.weight = self.weight * factor + 1.0
 
--- a/packages/core/src/bergamotwood_core/evidence.py
+++ b/packages/core/src/bergamotwood_core/evidence.py
@@ -8,13 +8,13 @@
 from bergamotwood_core.ids import RequestClass, VersionId, WorkspaceId
 
 # Cells in one message, and ratings taken from one cell of a message.
-MAX_MESSAGE_CELLS = 512
-MAX_CELL_RATINGS = 100
+MAX_MESSAGE_HISTOGRAMS = 512
+MAX_HISTOGRAM_RATINGS = 100
 # Senders whose newest sequence is remembered.
 MAX_SOURCES = 1_024
 
 
-class CellKey(Struct, frozen=True, array_like=True):
+class EstimateKey(Struct, frozen=True, array_like=True):
     """What one estimate is about.
 
     Parameters
@@ -35,10 +35,10 @@
     escalated: bool = False
 
 
-class EvidenceCell(Struct, frozen=True, array_like=True):
+class EvidenceHistogram(Struct, frozen=True, array_like=True):
     """New ratings of one cell: number and sum of the scores by bin."""
 
-    key: CellKey
+    key: EstimateKey
     counts: tuple[int, ...]
     totals: tuple[float, ...]
 
@@ -50,8 +50,8 @@
         for count, total in zip(self.counts, self.totals, strict=True):
             if count <= 0 or not 0.0 <= total <= count:
                 continue
-            scores += [total / count] * min(count, MAX_CELL_RATINGS)
-        return scores[:MAX_CELL_RATINGS]
+            scores += [total / count] * min(count, MAX_HISTOGRAM_RATINGS)
+        return scores[:MAX_HISTOGRAM_RATINGS]
 
 
 class Evidence(Struct, frozen=True, array_like=True):
@@ -63,13 +63,13 @@
         The entry and its incarnation.
     sequence : int
         Rises with each message of a source.
-    cells : tuple of EvidenceCell
+    histograms : tuple of EvidenceHistogram
         New ratings.
     """
 
     source: str
     sequence: int
-    cells: tuple[EvidenceCell, ...] = ()
+    histograms: tuple[EvidenceHistogram, ...] = ()
 
 
 class EvidenceCollector:
@@ -84,28 +84,28 @@
     def __init__(self, source: str) -> None:
         self.source = source
         self._sequence = 0
-        self._cells: dict[CellKey, tuple[list[int], list[float]]] = {}
+        self._histograms: dict[EstimateKey, tuple[list[int], list[float]]] = {}
 
-    def add(self, key: CellKey, index: int, score: float) -> None:
+    def add(self, key: EstimateKey, index: int, score: float) -> None:
         """Count one score in a bin; beyond the bound it stays local."""
-        cell = self._cells.get(key)
-        if cell is None:
-            if len(self._cells) >= MAX_MESSAGE_CELLS:
+        histogram = self._histograms.get(key)
+        if histogram is None:
+            if len(self._histograms) >= MAX_MESSAGE_HISTOGRAMS:
                 return
-            cell = ([0] * SCORE_BINS, [0.0] * SCORE_BINS)
-            self._cells[key] = cell
-        cell[0][index] += 1
-        cell[1][index] += score
+            histogram = ([0] * SCORE_BINS, [0.0] * SCORE_BINS)
+            self._histograms[key] = histogram
+        histogram[0][index] += 1
+        histogram[1][index] += score
 
     def take(self) -> Evidence:
         """Everything counted since the last call."""
         self._sequence += 1
-        cells = tuple(
-            EvidenceCell(key, tuple(counts), tuple(totals))
-            for key, (counts, totals) in self._cells.items()
+        histograms = tuple(
+            EvidenceHistogram(key, tuple(counts), tuple(totals))
+            for key, (counts, totals) in self._histograms.items()
         )
-        self._cells = {}
-        return Evidence(self.source, self._sequence, cells)
+        self._histograms = {}
+        return Evidence(self.source, self._sequence, histograms)
 
 
 class SequenceFilter:
--- a/packages/core/src/bergamotwood_core/frontier.py
+++ b/packages/core/src/bergamotwood_core/frontier.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prospect:
+class VersionForecast:
     """What one version is expected to do with one kind of request.
 
     Parameters
@@ -45,7 +45,7 @@
         Cost units of one answer.
     first_token_seconds, total_seconds : float
         Time to the first token and to the end of the answer.
-    fresh, escalated : Estimate
+    direct, escalated : Estimate
         Quality on all requests, and on those that another version failed.
     """
 
@@ -53,12 +53,12 @@
     cost: float
     first_token_seconds: float
     total_seconds: float
-    fresh: Estimate
+    direct: Estimate
     escalated: Estimate
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class OptionParameters:
     """What the options of one workspace are weighed by.
 
     Parameters
@@ -69,14 +69,14 @@
         Time that one rating takes.
     selection_bias : float
         How far accepted scores lie above true quality.
-    caution : float
+    uncertainty_penalty : float
         Standard errors that quality is lowered by; negative to be hopeful.
     """
 
     latency_weight: float
     rating_seconds: float
     selection_bias: float
-    caution: float
+    uncertainty_penalty: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,66 +90,73 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Weighed:
+class _EvaluatedVersion:
     """Figures of one prospect as a first, a later and a last step."""
 
     version: VersionId
     last_cost: float
     rated_cost: float
-    fresh_quality: float
+    direct_quality: float
     escalated_quality: float
-    fresh_acceptance: list[tuple[float, float]]
+    direct_acceptance: list[tuple[float, float]]
     escalated_acceptance: list[tuple[float, float]]
 
 
-def list_options(prospects: Sequence[Prospect], terms: Terms) -> list[Option]:
+def list_options(
+    forecasts: Sequence[VersionForecast], parameters: OptionParameters
+) -> list[Option]:
     """Every single version and every short rated cascade, in the given order."""
-    weighed = [_weigh(prospect, terms) for prospect in prospects]
+    evaluated = [_evaluate_version(forecast, parameters) for forecast in forecasts]
     options = [
-        Option((Step(w.version),), w.last_cost, w.fresh_quality) for w in weighed
+        Option((Step(w.version),), w.last_cost, w.direct_quality) for w in evaluated
     ]
-    for first, last in combinations(weighed, 2):
+    for first, last in combinations(evaluated, 2):
         options += _list_pairs(first, last)
-    for first, second, last in combinations(weighed, 3):
+    for first, second, last in combinations(evaluated, 3):
         options += _list_triples(first, second, last)
     return options
 
 
-def weigh_quality(estimate: Estimate, caution: float) -> float:
+def bound_quality(estimate: Estimate, uncertainty_penalty: float) -> float:
     """Mean quality of an unrated answer, lowered by its uncertainty."""
-    quality = estimate.mean - caution * estimate.standard_error
+    quality = estimate.mean - uncertainty_penalty * estimate.standard_error
     return min(max(quality, 0.0), 1.0)
 
 
-def _weigh(prospect: Prospect, terms: Terms) -> _Weighed:
-    wait = prospect.total_seconds + terms.rating_seconds
-    fresh, escalated = prospect.fresh, prospect.escalated
-    return _Weighed(
-        version=prospect.version,
-        last_cost=prospect.cost + terms.latency_weight * prospect.first_token_seconds,
-        rated_cost=prospect.cost + terms.latency_weight * wait,
-        fresh_quality=weigh_quality(fresh, terms.caution),
-        escalated_quality=weigh_quality(escalated, terms.caution),
-        fresh_acceptance=_list_acceptance(fresh, terms),
-        escalated_acceptance=_list_acceptance(escalated, terms),
+def _evaluate_version(
+    forecast: VersionForecast, parameters: OptionParameters
+) -> _EvaluatedVersion:
+    wait = forecast.total_seconds + parameters.rating_seconds
+    direct, escalated = forecast.direct, forecast.escalated
+    return _EvaluatedVersion(
+        version=forecast.version,
+        last_cost=forecast.cost
+        + parameters.latency_weight * forecast.first_token_seconds,
+        rated_cost=forecast.cost + parameters.latency_weight * wait,
+        direct_quality=bound_quality(direct, parameters.uncertainty_penalty),
+        escalated_quality=bound_quality(escalated, parameters.uncertainty_penalty),
+        direct_acceptance=_list_acceptance(direct, parameters),
+        escalated_acceptance=_list_acceptance(escalated, parameters),
     )
 
 
-def _list_acceptance(estimate: Estimate, terms: Terms) -> list[tuple[float, float]]:
-    found = estimate.list_acceptance(THRESHOLDS, terms.selection_bias)
-    if terms.caution >= 0.0:
-        loss = terms.caution * estimate.standard_error
+def _list_acceptance(
+    estimate: Estimate, parameters: OptionParameters
+) -> list[tuple[float, float]]:
+    found = estimate.list_acceptance(THRESHOLDS, parameters.selection_bias)
+    if parameters.uncertainty_penalty >= 0.0:
+        loss = parameters.uncertainty_penalty * estimate.standard_error
         return [(chance, quality - loss) for chance, quality in found]
-    hope = -terms.caution / sqrt(estimate.weight)
+    bonus = -parameters.uncertainty_penalty / sqrt(estimate.weight)
     return [
-        (min(chance + hope * sqrt(chance * (1.0 - chance)), 1.0), quality)
+        (min(chance + bonus * sqrt(chance * (1.0 - chance)), 1.0), quality)
         for chance, quality in found
     ]
 
 
-def _list_pairs(first: _Weighed, last: _Weighed) -> Iterator[Option]:
+def _list_pairs(first: _EvaluatedVersion, last: _EvaluatedVersion) -> Iterator[Option]:
     for threshold, (chance, quality) in zip(
-        THRESHOLDS, first.fresh_acceptance, strict=True
+        THRESHOLDS, first.direct_acceptance, strict=True
     ):
         refused = 1.0 - chance
         yield Option(
@@ -161,10 +168,10 @@
 
 
 def _list_triples(
-    first: _Weighed, second: _Weighed, last: _Weighed
+    first: _EvaluatedVersion, second: _EvaluatedVersion, last: _EvaluatedVersion
 ) -> Iterator[Option]:
     for index, threshold in enumerate(THRESHOLDS):
-        chance, quality = first.fresh_acceptance[index]
+        chance, quality = first.direct_acceptance[index]
         next_chance, next_quality = second.escalated_acceptance[index]
         refused = 1.0 - chance
         rest = 1.0 - next_chance
@@ -183,13 +190,13 @@
         )
 
 
-def drop_poor(options: Sequence[Option], target: float) -> list[Option]:
+def filter_low_quality(options: Sequence[Option], target: float) -> list[Option]:
     """Leave out options far below the target; keep the best one at least."""
     kept = [o for o in options if o.quality >= target - MAX_SHORTFALL]
     return kept or [max(options, key=lambda o: o.quality)]
 
 
-def trace_hull(options: Sequence[Option], rating_price: float = 0.0) -> list[Option]:
+def compute_hull(options: Sequence[Option], rating_price: float = 0.0) -> list[Option]:
     """Options on the lower convex hull of cost over quality, cheapest first.
 
     Parameters
@@ -205,9 +212,9 @@
         Rising in cost and quality, with rising cost for each gain of quality.
     """
     if rating_price:
-        options = [_add_price(option, rating_price) for option in options]
+        options = [_add_rating_cost(option, rating_price) for option in options]
     hull: list[Option] = []
-    for option in sorted(options, key=_order):
+    for option in sorted(options, key=_sort_key):
         if hull and option.quality <= hull[-1].quality:
             continue
         while len(hull) > 1 and _is_above(hull[-2], hull[-1], option):
@@ -216,19 +223,19 @@
     return hull
 
 
-def _add_price(option: Option, price: float) -> Option:
+def _add_rating_cost(option: Option, price: float) -> Option:
     cost = option.cost + price * option.ratings
     return Option(option.steps, cost, option.quality, option.ratings)
 
 
-def _order(option: Option) -> tuple[float, float]:
+def _sort_key(option: Option) -> tuple[float, float]:
     return option.cost, -option.quality
 
 
 def _is_above(low: Option, middle: Option, high: Option) -> bool:
-    return find_slope(low, middle) >= find_slope(middle, high)
+    return compute_slope(low, middle) >= compute_slope(middle, high)
 
 
-def find_slope(low: Option, high: Option) -> float:
+def compute_slope(low: Option, high: Option) -> float:
     """Cost of one unit of quality between two options."""
     return (high.cost - low.cost) / (high.quality - low.quality)
--- a/packages/core/src/bergamotwood_core/orders.py
+++ b/packages/core/src/bergamotwood_core/orders.py
@@ -20,7 +20,7 @@
 from bergamotwood_core.tables import ConfigurationTables, DirectoryTables, Endpoint
 
 # Endpoints that get a model which none has yet.
-FIRST_COPIES = 2
+INITIAL_COPIES = 2
 # Time after which a load that has not shown is ordered again.
 LOAD_RETRY_SECONDS = 60.0
 
@@ -47,7 +47,7 @@
     token: FencingToken
 
 
-class LoadPace(Struct, frozen=True):
+class LoadRateLimit(Struct, frozen=True):
     """The weight store's limit.
 
     Parameters
@@ -90,7 +90,7 @@
     directory: DirectoryTables,
     orders: OrderTables,
     token: FencingToken | None,
-    pace: LoadPace,
+    rate_limit: LoadRateLimit,
     now: Seconds,
 ) -> list[LoadOrder]:
     """Return the loads to order in this tick.
@@ -103,7 +103,7 @@
         Updated by this call.
     token : FencingToken or None
         None when this replica does not hold the lease; then nothing is ordered.
-    pace : LoadPace
+    rate_limit : LoadRateLimit
         The weight store's limit.
     now : Seconds
         Time of the tick.
@@ -113,9 +113,9 @@
         orders.allowance = 0.0
         orders.filled_at = None
         return []
-    _fill_allowance(orders, pace, now)
+    _fill_allowance(orders, rate_limit, now)
     wanted = find_missing_loads(configuration, directory)
-    _forget_done(orders, wanted)
+    _remove_finished(orders, wanted)
     due = [key for key in wanted if _is_due(orders, key, now)]
     chosen = due[: int(orders.allowance)]
     orders.allowance -= len(chosen)
@@ -163,18 +163,20 @@
     if pool:
         return pool
     emptiest = sorted(endpoints, key=lambda e: (len(e.announcement.versions), e.id))
-    return emptiest[:FIRST_COPIES]
+    return emptiest[:INITIAL_COPIES]
 
 
-def _fill_allowance(orders: OrderTables, pace: LoadPace, now: Seconds) -> None:
+def _fill_allowance(
+    orders: OrderTables, rate_limit: LoadRateLimit, now: Seconds
+) -> None:
     if orders.filled_at is None:
         orders.filled_at = now
-    earned = (now - orders.filled_at) * pace.loads_per_second
-    orders.allowance = min(orders.allowance + earned, pace.burst)
+    earned = (now - orders.filled_at) * rate_limit.loads_per_second
+    orders.allowance = min(orders.allowance + earned, rate_limit.burst)
     orders.filled_at = now
 
 
-def _forget_done(orders: OrderTables, wanted: list[LoadKey]) -> None:
+def _remove_finished(orders: OrderTables, wanted: list[LoadKey]) -> None:
     for key in set(orders.ordered) - set(wanted):
         del orders.ordered[key]
 
--- a/packages/core/src/bergamotwood_core/outcome.py
+++ b/packages/core/src/bergamotwood_core/outcome.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 from msgspec import field as struct_field
 
-from bergamotwood_core.estimate import SCORE_BINS, find_bin, is_score
+from bergamotwood_core.estimate import SCORE_BINS, find_bin, is_valid_score
 from bergamotwood_core.ids import RolloutId, TicketNumber, VersionId
 
 # Upper bounds of the first-token histogram, in seconds; one more bin is open.
@@ -77,11 +77,11 @@
         self.finished += other.finished
         self.failed += other.failed
         self.latencies = [
-            mine + more
-            for mine, more in zip(self.latencies, other.latencies, strict=True)
+            own + added
+            for own, added in zip(self.latencies, other.latencies, strict=True)
         ]
         self.scores = [
-            mine + more for mine, more in zip(self.scores, other.scores, strict=True)
+            own + added for own, added in zip(self.scores, other.scores, strict=True)
         ]
 
     def is_valid(self) -> bool:
@@ -153,7 +153,7 @@
         self._sequence = 0
         self._counts: OrderedDict[RolloutId, RolloutCounts] = OrderedDict()
 
-    def watch(
+    def start_counting(
         self,
         rollout: RolloutId,
         ticket: TicketNumber,
@@ -168,7 +168,7 @@
         if len(self._counts) > MAX_ROLLOUTS:
             self._counts.popitem(last=False)
 
-    def forget(self, rollout: RolloutId) -> None:
+    def stop_counting(self, rollout: RolloutId) -> None:
         """Stop counting for a roll-out."""
         self._counts.pop(rollout, None)
 
@@ -185,7 +185,7 @@
 
     def count_score(self, version: VersionId, score: float) -> None:
         """Count a rating; an invalid score is dropped."""
-        if not is_score(score):
+        if not is_valid_score(score):
             return
         for arm in self._find_arms(version):
             arm.scores[find_bin(score)] += 1
--- a/packages/core/src/bergamotwood_core/outlier.py
+++ b/packages/core/src/bergamotwood_core/outlier.py
@@ -7,7 +7,7 @@
 EJECTION_BASE_SECONDS = 2.0
 EJECTION_CAP_SECONDS = 60.0
 # Weight of the newest time to the first token in the moving average.
-LATENCY_WEIGHT = 0.2
+LATENCY_SMOOTHING = 0.2
 # An endpoint counts as silent after this time without any first token.
 MIN_SILENCE_SECONDS = 3.0
 SILENCE_FACTOR = 5.0
@@ -39,7 +39,7 @@
         endpoint.first_token_seconds = seconds
         return
     change = seconds - endpoint.first_token_seconds
-    endpoint.first_token_seconds += LATENCY_WEIGHT * change
+    endpoint.first_token_seconds += LATENCY_SMOOTHING * change
 
 
 def record_success(endpoint: Endpoint, now: Seconds) -> None:
--- a/packages/core/src/bergamotwood_core/placement.py
+++ b/packages/core/src/bergamotwood_core/placement.py
@@ -18,26 +18,26 @@
 # Random draws that look for two endpoints fit for work before all are looked at.
 MAX_DRAWS = 8
 # Endpoints in rendezvous order that are tried for a prefix or session.
-AFFINITY_CHOICES = 3
+AFFINITY_CANDIDATES = 3
 # Pools up to this size are sorted whole.
-SMALL_POOL = 32
+FULL_SORT_POOL_SIZE = 32
 # How much busier than the better of two the preferred endpoint may be, in shares
 # of its capacity.
-AFFINITY_SLACK = 0.4
+AFFINITY_LOAD_MARGIN = 0.4
 # Prefix length from which a hit is worth the whole slack.
 LONG_PREFIX_TOKENS = 5_000
 # Prefix length where it is not known.
-USUAL_PREFIX_TOKENS = 2_500
+DEFAULT_PREFIX_TOKENS = 2_500
 # Share of its capacity from which other data centres are looked at.
-FULL_LOAD = 0.5
+SPILLOVER_LOAD = 0.5
 # How much less busy another data centre must be to be worth the way.
-SPILL_MARGIN = 0.15
+SPILLOVER_MARGIN = 0.15
 
-_MIX = uint64(0x9E3779B97F4A7C15)
-_MASK = 0xFFFFFFFFFFFFFFFF
+_HASH_MULTIPLIER = uint64(0x9E3779B97F4A7C15)
+_HASH_MASK = 0xFFFFFFFFFFFFFFFF
 
 
-class Need(Struct, frozen=True):
+class PlacementRequirements(Struct, frozen=True):
     """What an attempt needs of an endpoint.
 
     Parameters
@@ -69,7 +69,10 @@
 
 
 def choose_endpoint(
-    tables: DirectoryTables, need: Need, now: Seconds, rng: Random
+    tables: DirectoryTables,
+    requirements: PlacementRequirements,
+    now: Seconds,
+    rng: Random,
 ) -> EndpointId | None:
     """Choose the endpoint for one attempt.
 
@@ -81,7 +84,7 @@
     ----------
     tables : DirectoryTables
         Endpoints, with this daemon's own outstanding work.
-    need : Need
+    requirements : PlacementRequirements
         What the attempt needs.
     now : Seconds
         Time of the choice.
@@ -93,13 +96,13 @@
     EndpointId or None
         None when no endpoint runs the target.
     """
-    best = _choose_by_load(tables, need, now, rng)
-    key = _read_affinity(need)
+    best = _choose_by_load(tables, requirements, now, rng)
+    key = _compute_affinity_key(requirements)
     if best is None:
-        return _choose_any(tables, need, rng)
+        return _choose_ejected(tables, requirements, rng)
     if key is None:
         return best.id
-    preferred = _find_preferred(tables, need, now, key, best)
+    preferred = _find_affinity_endpoint(tables, requirements, now, key, best)
     return best.id if preferred is None else preferred.id
 
 
@@ -120,67 +123,85 @@
     return (running + 1.0) / announcement.capacity
 
 
-def _list_pools(tables: DirectoryTables, need: Need) -> Iterator[Pool]:
+def _list_pools(
+    tables: DirectoryTables, requirements: PlacementRequirements
+) -> Iterator[Pool]:
     """List the pools that hold the target, the nearest first."""
-    name = need.target.name
-    near = (need.data_centre,)
+    name = requirements.target.name
+    near = (requirements.data_centre,)
     yield find_pool(tables, PoolKey(name, near))
-    others = tuple(place for place in need.nearby if place != need.data_centre)
+    others = tuple(
+        place for place in requirements.nearby if place != requirements.data_centre
+    )
     if others:
         yield find_pool(tables, PoolKey(name, others))
     yield find_pool(tables, PoolKey(name, near + others, elsewhere=True))
 
 
-def _is_worth_spill(candidate: Endpoint, best: Endpoint) -> bool:
+def _should_spill_over(candidate: Endpoint, best: Endpoint) -> bool:
     """Whether a farther endpoint is enough less busy than a nearer one."""
-    return estimate_load(candidate) + SPILL_MARGIN < estimate_load(best)
+    return estimate_load(candidate) + SPILLOVER_MARGIN < estimate_load(best)
 
 
 def _choose_by_load(
-    tables: DirectoryTables, need: Need, now: Seconds, rng: Random
+    tables: DirectoryTables,
+    requirements: PlacementRequirements,
+    now: Seconds,
+    rng: Random,
 ) -> Endpoint | None:
     """Choose the better of two in the nearest pool that is not full."""
     best: Endpoint | None = None
-    for pool in _list_pools(tables, need):
-        candidate = _choose_of_two(tables, pool, need, now, rng)
+    for pool in _list_pools(tables, requirements):
+        candidate = _choose_of_two(tables, pool, requirements, now, rng)
         if candidate is None:
             continue
-        if best is None or _is_worth_spill(candidate, best):
+        if best is None or _should_spill_over(candidate, best):
             best = candidate
-        if estimate_load(best) < FULL_LOAD:
+        if estimate_load(best) < SPILLOVER_LOAD:
             return best
     return best
 
 
-def _find_preferred(
-    tables: DirectoryTables, need: Need, now: Seconds, key: int, best: Endpoint
+def _find_affinity_endpoint(
+    tables: DirectoryTables,
+    requirements: PlacementRequirements,
+    now: Seconds,
+    key: int,
+    best: Endpoint,
 ) -> Endpoint | None:
     """Find the endpoint that holds the prefix or session, unless it is too busy.
 
     All near data centres count alike: a prefix saves more time than the way costs.
     """
-    near = (need.data_centre, *need.nearby)
-    pool = find_pool(tables, PoolKey(need.target.name, near))
+    near = (requirements.data_centre, *requirements.nearby)
+    pool = find_pool(tables, PoolKey(requirements.target.name, near))
     if not pool.endpoints:
         return None
-    bound = estimate_load(best) + _allow_slack(need)
+    bound = estimate_load(best) + _compute_affinity_margin(requirements)
     for position in rank_endpoints(pool, key):
         endpoint = tables.endpoints[pool.endpoints[position]]
-        if _is_fit(endpoint, need, now) and estimate_load(endpoint) <= bound:
+        if (
+            _is_eligible(endpoint, requirements, now)
+            and estimate_load(endpoint) <= bound
+        ):
             return endpoint
     return None
 
 
-def _allow_slack(need: Need) -> float:
+def _compute_affinity_margin(requirements: PlacementRequirements) -> float:
     """Say how much busier the preferred endpoint may be: by what a hit saves."""
-    tokens = need.prefix_tokens
+    tokens = requirements.prefix_tokens
     if tokens is None:
-        tokens = USUAL_PREFIX_TOKENS
-    return AFFINITY_SLACK * min(1.0, tokens / LONG_PREFIX_TOKENS)
+        tokens = DEFAULT_PREFIX_TOKENS
+    return AFFINITY_LOAD_MARGIN * min(1.0, tokens / LONG_PREFIX_TOKENS)
 
 
 def _choose_of_two(
-    tables: DirectoryTables, pool: Pool, need: Need, now: Seconds, rng: Random
+    tables: DirectoryTables,
+    pool: Pool,
+    requirements: PlacementRequirements,
+    now: Seconds,
+    rng: Random,
 ) -> Endpoint | None:
     """Choose the better of two endpoints drawn at random."""
     size = len(pool.endpoints)
@@ -189,29 +210,35 @@
         endpoint = tables.endpoints[pool.endpoints[int(rng.random() * size)]]
         if drawn and endpoint is drawn[0]:
             continue
-        if _is_fit(endpoint, need, now):
+        if _is_eligible(endpoint, requirements, now):
             drawn.append(endpoint)
         if len(drawn) == 2:
             break
     if not drawn:
-        rows = (tables.endpoints[id_] for id_ in pool.endpoints)
-        drawn = [row for row in rows if _is_fit(row, need, now)]
+        members = (tables.endpoints[id_] for id_ in pool.endpoints)
+        drawn = [
+            member for member in members if _is_eligible(member, requirements, now)
+        ]
     return min(drawn, key=_score, default=None)
 
 
-def _choose_any(tables: DirectoryTables, need: Need, rng: Random) -> EndpointId | None:
+def _choose_ejected(
+    tables: DirectoryTables, requirements: PlacementRequirements, rng: Random
+) -> EndpointId | None:
     """Choose among ejected endpoints, when there are no others."""
-    for pool in _list_pools(tables, need):
-        allowed = [id_ for id_ in pool.endpoints if id_ not in need.excluded]
+    for pool in _list_pools(tables, requirements):
+        allowed = [id_ for id_ in pool.endpoints if id_ not in requirements.excluded]
         if allowed:
             return rng.choice(allowed)
     return None
 
 
-def _is_fit(endpoint: Endpoint, need: Need, now: Seconds) -> bool:
+def _is_eligible(
+    endpoint: Endpoint, requirements: PlacementRequirements, now: Seconds
+) -> bool:
     """Whether an endpoint may get the attempt."""
     announcement = endpoint.announcement
-    if need.excluded and announcement.id in need.excluded:
+    if requirements.excluded and announcement.id in requirements.excluded:
         return False
     if announcement.state is not EndpointState.SERVING:
         return False
@@ -225,12 +252,12 @@
     return estimate_load(endpoint) * max(endpoint.first_token_seconds, 0.001)
 
 
-def _read_affinity(need: Need) -> int | None:
+def _compute_affinity_key(requirements: PlacementRequirements) -> int | None:
     """Read the hash that keeps like requests together."""
-    if need.prefix_hash is not None:
-        return need.prefix_hash & _MASK
-    if need.session is not None:
-        return xxh3_64_intdigest(need.session.encode())
+    if requirements.prefix_hash is not None:
+        return requirements.prefix_hash & _HASH_MASK
+    if requirements.session is not None:
+        return xxh3_64_intdigest(requirements.session.encode())
     return None
 
 
@@ -249,8 +276,8 @@
     list of int
         Positions in the pool, the preferred first.
     """
-    mixed = (pool.hashes ^ uint64(key)) * _MIX
-    if len(mixed) <= SMALL_POOL:
-        return mixed.argsort()[:AFFINITY_CHOICES].tolist()
-    lowest = mixed.argpartition(AFFINITY_CHOICES)[:AFFINITY_CHOICES]
+    mixed = (pool.hashes ^ uint64(key)) * _HASH_MULTIPLIER
+    if len(mixed) <= FULL_SORT_POOL_SIZE:
+        return mixed.argsort()[:AFFINITY_CANDIDATES].tolist()
+    lowest = mixed.argpartition(AFFINITY_CANDIDATES)[:AFFINITY_CANDIDATES]
     return lowest[mixed[lowest].argsort()].tolist()
--- a/packages/core/src/bergamotwood_core/quarantine.py
+++ b/packages/core/src/bergamotwood_core/quarantine.py
@@ -11,18 +11,18 @@
 
 QUARANTINE_CRASHES = 2
 # One in so many endpoints may be kept for the retry of suspects.
-RETRY_PART = 2
+RETRY_ENDPOINT_DIVISOR = 2
 # Finished fingerprints that an entry remembers.
 MAX_FINISHED = 10_000
 # How long a suspect waits before its retry: longer than a crash record takes to
 # every entry, so that duplicates that run elsewhere are known by then.
-SETTLE_SECONDS = 1.0
+CRASH_PROPAGATION_SECONDS = 1.0
 # How long an entry waits for another's retry of a suspect before its own.
-VERDICT_SECONDS = 8.0
+RETRY_RESULT_TIMEOUT_SECONDS = 8.0
 
 
 @dataclass(frozen=True, slots=True)
-class Ordinary:
+class Unsuspected:
     """The fingerprint is under no suspicion."""
 
 
@@ -52,7 +52,7 @@
     crashes: int
 
 
-Clearance = Ordinary | Isolated | Quarantined
+Clearance = Unsuspected | Isolated | Quarantined
 
 
 def fingerprint_request(workspace: WorkspaceId, path: str, body: bytes) -> Fingerprint:
@@ -89,7 +89,7 @@
     """
     suspect = suspects.get(fingerprint)
     if suspect is None or suspect.crashes == 0:
-        return Ordinary()
+        return Unsuspected()
     if suspect.crashes >= QUARANTINE_CRASHES:
         return Quarantined(suspect.crashes)
     return Isolated(suspect.last_endpoint)
@@ -97,7 +97,7 @@
 
 def require_clearance(
     suspects: Mapping[Fingerprint, Suspect], fingerprint: Fingerprint
-) -> Ordinary | Isolated:
+) -> Unsuspected | Isolated:
     """Check a fingerprint at dispatch.
 
     Raises
@@ -126,16 +126,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class RefuseRequest:
     """Refuse the request as quarantined."""
 
 
-Plan = RunNow | WaitFor | GiveUp
+DispatchPlan = RunNow | WaitFor | RefuseRequest
 
 
 def plan_dispatch(
     clearance: Clearance, crashed: bool, granted: bool, waited: float
-) -> Plan:
+) -> DispatchPlan:
     """Plan what an entry does with a request that may be a suspect.
 
     Parameters
@@ -152,14 +152,14 @@
         Seconds that the request has waited since it was first planned as a suspect.
     """
     match clearance:
-        case Ordinary() if not crashed or waited >= SETTLE_SECONDS:
+        case Unsuspected() if not crashed or waited >= CRASH_PROPAGATION_SECONDS:
             return RunNow()
         case Quarantined():
-            return GiveUp()
-    patience = SETTLE_SECONDS if granted else VERDICT_SECONDS
-    if waited >= patience:
+            return RefuseRequest()
+    timeout = CRASH_PROPAGATION_SECONDS if granted else RETRY_RESULT_TIMEOUT_SECONDS
+    if waited >= timeout:
         return RunNow()
-    return WaitFor(min(SETTLE_SECONDS, patience - waited))
+    return WaitFor(min(CRASH_PROPAGATION_SECONDS, timeout - waited))
 
 
 def assign_endpoints(
@@ -184,12 +184,12 @@
         Endpoint of each suspect; at most half of the endpoints.
     """
     free = list(endpoints)
-    most = max(1, len(free) // RETRY_PART)
+    max_assigned = max(1, len(free) // RETRY_ENDPOINT_DIVISOR)
     assigned: dict[Fingerprint, EndpointId] = {}
     for fingerprint, suspect in suspects.items():
         if suspect.crashes != 1:
             continue
-        if len(assigned) == most or not free:
+        if len(assigned) == max_assigned or not free:
             break
         chosen = max(free, key=lambda id_: _rank(id_, fingerprint))
         free.remove(chosen)
@@ -262,7 +262,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Failure:
+class AttemptFailure:
     """What an entry saw when an attempt failed.
 
     Parameters
@@ -283,7 +283,9 @@
     reset: bool
 
 
-def is_crash(failure: Failure, incarnation_changed: bool, probe_failed: bool) -> bool:
+def is_crash(
+    failure: AttemptFailure, incarnation_changed: bool, probe_failed: bool
+) -> bool:
     """Decide whether a failure is evidence of a crash of the endpoint.
 
     Parameters
--- a/packages/core/src/bergamotwood_core/retry.py
+++ b/packages/core/src/bergamotwood_core/retry.py
@@ -94,7 +94,7 @@
         return self.retries.try_spend()
 
 
-def backoff_seconds(attempt: int, rng: Random) -> float:
+def compute_backoff(attempt: int, rng: Random) -> float:
     """Compute a jittered delay before a retry, in seconds.
 
     Parameters
--- a/packages/core/src/bergamotwood_core/rollout.py
+++ b/packages/core/src/bergamotwood_core/rollout.py
@@ -8,8 +8,8 @@
 from bergamotwood_core.comparison import (
     Baseline,
     Metric,
-    bet_on_safety,
-    find_harm,
+    compute_safety_capital,
+    find_harmed_metric,
     list_baselines,
 )
 from bergamotwood_core.configuration import Model, Rollout
@@ -24,21 +24,21 @@
 
 # Loss above the current version's that the first stage has to rule out, and the
 # factor on it for each later stage.
-FIRST_MARGIN = 0.1
+FIRST_STAGE_MARGIN = 0.1
 MARGIN_FACTOR = 0.7
 # Chance of passing a stage with a candidate that is worse by the margin.
-PASS_RATE = 0.05
+FALSE_PASS_RATE = 0.05
 # Time that a stage lasts at least, so that delayed reports arrive.
 MIN_STAGE_SECONDS = 60.0
 # Time that the last stage lasts at least, to notice a version that turns bad.
 MIN_FINAL_SECONDS = 300.0
 # Requests between two starting points of the tests, and how many are kept.
-START_SPACING = 25
-MAX_STARTS = 16
+TEST_START_SPACING = 25
+MAX_TEST_STARTS = 16
 # Weight of the test that runs from the beginning.
-FIRST_START_WEIGHT = 0.5
+FIRST_TEST_START_WEIGHT = 0.5
 # Share of the endpoints that a stage's share of traffic needs.
-READY_SHARE = 0.8
+MIN_READY_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,26 +79,26 @@
 
 
 @dataclass(slots=True)
-class RolloutWatch:
+class RolloutMonitor:
     """What the leader holds about one roll-out; lost with its leadership.
 
     Parameters
     ----------
     evidence : RolloutEvidence
         Counts from the entries.
-    stage, stage_at : int, Seconds
+    stage, stage_seen_at : int, Seconds
         The stage, and when this leader first saw it.
-    starts : list of tuple
+    test_starts : list of tuple
         Order and candidate's counts of earlier times, from which the tests run too.
-    start_count : int
+    test_start_count : int
         Starting points taken so far.
     """
 
     evidence: RolloutEvidence
     stage: int = -1
-    stage_at: Seconds = Seconds(0.0)
-    starts: list[tuple[int, ArmCounts]] = field(default_factory=list)
-    start_count: int = 0
+    stage_seen_at: Seconds = Seconds(0.0)
+    test_starts: list[tuple[int, ArmCounts]] = field(default_factory=list)
+    test_start_count: int = 0
 
 
 def choose_version(
@@ -140,10 +140,10 @@
     return candidate if draw < share else current
 
 
-def judge_rollout(
+def evaluate_rollout(
     rollout: Rollout,
     progress: RolloutProgress,
-    watch: RolloutWatch,
+    monitor: RolloutMonitor,
     now: Seconds,
     ratings_expected: bool = True,
 ) -> Verdict:
@@ -153,7 +153,7 @@
     ----------
     rollout, progress : Rollout, RolloutProgress
         The roll-out and its replicated progress.
-    watch : RolloutWatch
+    monitor : RolloutMonitor
         Evidence and starting points; a starting point may be added.
     now : Seconds
         The time.
@@ -166,21 +166,25 @@
         Stop as soon as a test shows that the candidate is worse; advance when
         the tests rule out that it is worse by the stage's margin.
     """
-    if watch.stage != progress.stage:
-        watch.stage = progress.stage
-        watch.stage_at = now
-    candidate = watch.evidence.sum_candidate()
-    current = watch.evidence.sum_current()
+    if monitor.stage != progress.stage:
+        monitor.stage = progress.stage
+        monitor.stage_seen_at = now
+    candidate = monitor.evidence.sum_candidate()
+    current = monitor.evidence.sum_current()
     baselines = list_baselines(current)
-    harm = find_harm(baselines, candidate, _list_starts(watch), rollout.false_stop_rate)
+    harm = find_harmed_metric(
+        baselines, candidate, _list_test_starts(monitor), rollout.false_stop_rate
+    )
     if harm is not None:
         return Stop(f"worse than the current version: {harm}")
-    _add_start(watch, candidate)
+    _add_test_start(monitor, candidate)
     final = progress.stage + 1 >= len(rollout.stages)
-    least = MIN_FINAL_SECONDS if final else MIN_STAGE_SECONDS
-    if now - watch.stage_at < least:
+    min_seconds = MIN_FINAL_SECONDS if final else MIN_STAGE_SECONDS
+    if now - monitor.stage_seen_at < min_seconds:
         return Hold("waiting for reports")
-    missing = _find_missing(progress.stage, baselines, candidate, ratings_expected)
+    missing = _find_missing_evidence(
+        progress.stage, baselines, candidate, ratings_expected
+    )
     if missing is not None:
         return Hold(missing)
     if final:
@@ -191,7 +195,7 @@
 def advance_rollouts(
     configuration: ConfigurationTables,
     directory: DirectoryTables,
-    watches: dict[RolloutId, RolloutWatch],
+    monitors: dict[RolloutId, RolloutMonitor],
     now: Seconds,
     ratings_expected: bool = True,
 ) -> list[ProgressChange]:
@@ -203,7 +207,7 @@
         Roll-outs and their progress.
     directory : DirectoryTables
         Endpoints, to know how many have a version loaded.
-    watches : dict
+    monitors : dict
         The leader's evidence; entries are added and dropped here.
     now : Seconds
         The time.
@@ -215,17 +219,17 @@
     list of ProgressChange
         What is to be committed to the log.
     """
-    for rollout_id in watches.keys() - configuration.rollouts.keys():
-        del watches[rollout_id]
+    for rollout_id in monitors.keys() - configuration.rollouts.keys():
+        del monitors[rollout_id]
     changes: list[ProgressChange] = []
     for rollout_id, rollout in configuration.rollouts.items():
         progress = configuration.progress.get(rollout_id)
         if progress is None or not _is_running(rollout, progress):
             continue
-        watch = _find_watch(watches, rollout_id, progress.ticket)
-        verdict = judge_rollout(rollout, progress, watch, now, ratings_expected)
+        monitor = _find_monitor(monitors, rollout_id, progress.ticket)
+        verdict = evaluate_rollout(rollout, progress, monitor, now, ratings_expected)
         ready = _is_ready(configuration, directory, rollout, verdict)
-        exposed = watch.evidence.sum_candidate().started
+        exposed = monitor.evidence.sum_candidate().started
         change = _apply_verdict(progress, verdict if ready else Hold(""), exposed)
         if change is not None:
             changes.append(ProgressChange(rollout_id, change))
@@ -233,22 +237,22 @@
 
 
 def merge_reports(
-    watches: dict[RolloutId, RolloutWatch], reports: Sequence[RolloutReport]
+    monitors: dict[RolloutId, RolloutMonitor], reports: Sequence[RolloutReport]
 ) -> None:
     """Take the entries' reports into the leader's evidence."""
     for report in reports:
-        watch = watches.get(report.rollout)
-        if watch is not None:
-            watch.evidence.merge(report)
+        monitor = monitors.get(report.rollout)
+        if monitor is not None:
+            monitor.evidence.merge(report)
 
 
-def _find_watch(
-    watches: dict[RolloutId, RolloutWatch], rollout: RolloutId, ticket: TicketNumber
-) -> RolloutWatch:
-    watch = watches.get(rollout)
-    if watch is None or watch.evidence.ticket != ticket:
-        watch = watches[rollout] = RolloutWatch(RolloutEvidence(ticket))
-    return watch
+def _find_monitor(
+    monitors: dict[RolloutId, RolloutMonitor], rollout: RolloutId, ticket: TicketNumber
+) -> RolloutMonitor:
+    monitor = monitors.get(rollout)
+    if monitor is None or monitor.evidence.ticket != ticket:
+        monitor = monitors[rollout] = RolloutMonitor(RolloutEvidence(ticket))
+    return monitor
 
 
 def _apply_verdict(
@@ -293,7 +297,7 @@
         return False
     current = _count_loaded(directory, VersionId(model.current))
     loaded = _count_loaded(directory, VersionId(rollout.candidate))
-    needed = ceil(READY_SHARE * rollout.stages[verdict.stage] * current)
+    needed = ceil(MIN_READY_SHARE * rollout.stages[verdict.stage] * current)
     return loaded >= max(needed, 1)
 
 
@@ -304,13 +308,13 @@
     )
 
 
-def _find_missing(
+def _find_missing_evidence(
     stage: int,
     baselines: Sequence[Baseline],
     candidate: ArmCounts,
     ratings_expected: bool,
 ) -> str | None:
-    margin = FIRST_MARGIN * MARGIN_FACTOR**stage
+    margin = FIRST_STAGE_MARGIN * MARGIN_FACTOR**stage
     known = {baseline.metric: baseline for baseline in baselines}
     for metric in Metric:
         if metric is Metric.QUALITY and not ratings_expected:
@@ -318,23 +322,23 @@
         baseline = known.get(metric)
         if baseline is None:
             return f"waiting for {metric} of the current version"
-        if bet_on_safety(baseline, candidate, margin) < 1.0 / PASS_RATE:
+        if compute_safety_capital(baseline, candidate, margin) < 1.0 / FALSE_PASS_RATE:
             return f"waiting for {metric} of the candidate"
     return None
 
 
-def _list_starts(watch: RolloutWatch) -> list[tuple[float, ArmCounts]]:
-    starts = [(FIRST_START_WEIGHT, ArmCounts())]
-    for order, counts in watch.starts:
-        weight = (1.0 - FIRST_START_WEIGHT) / (order * (order + 1.0))
-        starts.append((weight, counts))
-    return starts
+def _list_test_starts(monitor: RolloutMonitor) -> list[tuple[float, ArmCounts]]:
+    test_starts = [(FIRST_TEST_START_WEIGHT, ArmCounts())]
+    for order, counts in monitor.test_starts:
+        weight = (1.0 - FIRST_TEST_START_WEIGHT) / (order * (order + 1.0))
+        test_starts.append((weight, counts))
+    return test_starts
 
 
-def _add_start(watch: RolloutWatch, candidate: ArmCounts) -> None:
-    newest = watch.starts[-1][1].started if watch.starts else 0
-    if candidate.started - newest < START_SPACING:
+def _add_test_start(monitor: RolloutMonitor, candidate: ArmCounts) -> None:
+    newest = monitor.test_starts[-1][1].started if monitor.test_starts else 0
+    if candidate.started - newest < TEST_START_SPACING:
         return
-    watch.start_count += 1
-    watch.starts.append((watch.start_count, candidate))
-    del watch.starts[:-MAX_STARTS]
+    monitor.test_start_count += 1
+    monitor.test_starts.append((monitor.test_start_count, candidate))
+    del monitor.test_starts[:-MAX_TEST_STARTS]
--- a/packages/core/src/bergamotwood_core/segment.py
+++ b/packages/core/src/bergamotwood_core/segment.py
@@ -4,21 +4,21 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from bergamotwood_core.allocation import Mix
+from bergamotwood_core.allocation import OptionMix
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.frontier import Option
 from bergamotwood_core.ids import RequestClass, VersionId
 from bergamotwood_core.usage import Candidate
 
 # Requests that the moving averages of a segment remember.
-SEGMENT_MEMORY = 200.0
+SEGMENT_WINDOW_REQUESTS = 200.0
 MAX_SEGMENTS = 64
 # Answers over which a shortfall of quality is averaged, how strongly it is made
 # good, and the bounds of that.
-BALANCE_MEMORY = 150.0
-BALANCE_GAIN = 1.5
-LEAST_CORRECTION = -0.02
-MOST_CORRECTION = 0.05
+SHORTFALL_WINDOW_ANSWERS = 150.0
+CORRECTION_GAIN = 1.5
+MIN_CORRECTION = -0.02
+MAX_CORRECTION = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hope:
+class ExplorationCandidate:
     """Cost of a version and the quality that it may have at best."""
 
     version: VersionId
@@ -46,33 +46,33 @@
     weight: float = 0.0
     count: int = 0
     prompt_tokens: float = 0.0
-    mix: Mix | None = None
-    unrated: Mix | None = None
-    hopes: Sequence[Hope] = ()
+    mix: OptionMix | None = None
+    unrated_mix: OptionMix | None = None
+    exploration_candidates: Sequence[ExplorationCandidate] = ()
     credit: float = 0.0
     unrated_credit: float = 0.0
 
-    def find_hope(self) -> tuple[Hope | None, float]:
+    def find_exploration_candidate(self) -> tuple[ExplorationCandidate | None, float]:
         """Find the version that may save the most, and the share of cost it saves."""
         best, most = None, 0.0
-        for hope in self.hopes:
-            saving = self._find_saving(hope)
+        for candidate in self.exploration_candidates:
+            saving = self._estimate_saving(candidate)
             if saving > most:
-                best, most = hope, saving
+                best, most = candidate, saving
         return best, most
 
-    def _find_saving(self, hope: Hope) -> float:
+    def _estimate_saving(self, candidate: ExplorationCandidate) -> float:
         mix = self.mix
-        if mix is None or hope.quality < mix.low.quality:
+        if mix is None or candidate.quality < mix.low.quality:
             return 0.0
-        if hope.version in (mix.low.steps[0].version, mix.high.steps[0].version):
+        if candidate.version in (mix.low.steps[0].version, mix.high.steps[0].version):
             return 0.0
         gain = mix.high.quality - mix.low.quality
-        place = min((hope.quality - mix.low.quality) / gain, 1.0) if gain else 0.0
+        place = min((candidate.quality - mix.low.quality) / gain, 1.0) if gain else 0.0
         replaced = mix.low.cost + place * (mix.high.cost - mix.low.cost)
-        return 1.0 - hope.cost / replaced if replaced else 0.0
+        return 1.0 - candidate.cost / replaced if replaced else 0.0
 
-    def draw_rated(self) -> Option:
+    def choose_rated_option(self) -> Option:
         """Choose an option of the mix, each as often as its share says."""
         mix = self.mix
         if mix is None:
@@ -83,9 +83,9 @@
         self.credit -= 1.0
         return mix.high
 
-    def draw_unrated(self) -> Option:
+    def choose_unrated_option(self) -> Option:
         """Choose an option of the mix that needs no ratings."""
-        mix = self.unrated
+        mix = self.unrated_mix
         if mix is None:
             raise ValueError("segment without an allocation")
         self.unrated_credit += mix.share
@@ -120,21 +120,21 @@
     def count_request(self, segment: Segment, prompt_tokens: int) -> None:
         """Learn the share of a segment and the size of its prompts."""
         for other in self.segments.values():
-            other.weight *= 1.0 - 1.0 / SEGMENT_MEMORY
+            other.weight *= 1.0 - 1.0 / SEGMENT_WINDOW_REQUESTS
         segment.weight += 1.0
         segment.count += 1
-        weight = 1.0 / min(segment.count, SEGMENT_MEMORY)
+        weight = 1.0 / min(segment.count, SEGMENT_WINDOW_REQUESTS)
         segment.prompt_tokens += weight * (prompt_tokens - segment.prompt_tokens)
 
-    def count_quality(self, quality: float, aim: float) -> None:
+    def record_quality(self, quality: float, target: float) -> None:
         """Average how far the returned answers fall short of what is aimed at."""
-        self.shortfall += (aim - quality - self.shortfall) / BALANCE_MEMORY
+        self.shortfall += (target - quality - self.shortfall) / SHORTFALL_WINDOW_ANSWERS
 
     @property
     def correction(self) -> float:
         """Quality to aim at above the target, to make a shortfall good."""
-        wanted = BALANCE_GAIN * self.shortfall
-        return min(max(wanted, LEAST_CORRECTION), MOST_CORRECTION)
+        wanted = CORRECTION_GAIN * self.shortfall
+        return min(max(wanted, MIN_CORRECTION), MAX_CORRECTION)
 
     def list_weights(self) -> list[float]:
         """Share of each segment among the requests."""
--- a/packages/core/src/bergamotwood_core/stream.py
+++ b/packages/core/src/bergamotwood_core/stream.py
@@ -42,7 +42,7 @@
     delta: Raw = Raw(b"")
 
     @property
-    def counted(self) -> bool:
+    def is_token(self) -> bool:
         """Whether the chunk is a generated token."""
         closing = self.finish_reason is not None or self.usage is not None
         return bool(self.content) or not closing
@@ -54,7 +54,7 @@
 
     Parameters
     ----------
-    max_held : int
+    max_reorder_distance : int
         How far ahead of the next index a chunk may be.
     max_repeats : int
         Repeated chunks in a row before the stream counts as broken.
@@ -62,7 +62,7 @@
         Tokens of one answer.
     """
 
-    max_held: int = 64
+    max_reorder_distance: int = 64
     max_repeats: int = 256
     max_tokens: int = 131_072
 
@@ -88,14 +88,14 @@
         self.attempt = 0
         self._done_seen = False
         self._repeats = 0
-        self._held: dict[int, Chunk] = {}
+        self._held_chunks: dict[int, Chunk] = {}
 
     @property
     def complete(self) -> bool:
         """Whether the end was seen and checked."""
         return (
             self._done_seen
-            and not self._held
+            and not self._held_chunks
             and self.finish_reason is not None
             and self.usage is not None
             and self.usage.completion_tokens == self.tokens
@@ -120,18 +120,18 @@
         if attempt is not None and attempt != self.attempt:
             return ()
         if chunk.request != self.request:
-            raise _break_stream(f"a chunk of request {chunk.request}")
+            raise _make_stream_error(f"a chunk of request {chunk.request}")
         if self._done_seen:
-            raise _break_stream("a chunk after the end marker")
-        if chunk.index < self.next_index or chunk.index in self._held:
-            return self._drop_repeat()
-        if chunk.index > self.next_index + self.limits.max_held:
-            raise _break_stream(f"chunk {chunk.index}, expected {self.next_index}")
+            raise _make_stream_error("a chunk after the end marker")
+        if chunk.index < self.next_index or chunk.index in self._held_chunks:
+            return self._drop_repeated_chunk()
+        if chunk.index > self.next_index + self.limits.max_reorder_distance:
+            raise _make_stream_error(f"chunk {chunk.index}, expected {self.next_index}")
         self._repeats = 0
         if chunk.index > self.next_index:
-            self._held[chunk.index] = chunk
+            self._held_chunks[chunk.index] = chunk
             return ()
-        if not self._held:
+        if not self._held_chunks:
             self._advance(chunk)
             return (chunk,)
         return self._release(chunk)
@@ -153,8 +153,8 @@
             When the answer has ended already.
         """
         if self._done_seen:
-            raise _break_stream("resumed after the end marker")
-        self._held.clear()
+            raise _make_stream_error("resumed after the end marker")
+        self._held_chunks.clear()
         self._repeats = 0
         self.attempt += 1
         return self.attempt
@@ -177,13 +177,13 @@
             return self.usage
         detail = self._explain_end()
         self._done_seen = False
-        raise _break_stream(detail)
+        raise _make_stream_error(detail)
 
     def _advance(self, chunk: Chunk) -> None:
         """Count the chunk that has the next index."""
-        if self.finish_reason is not None and chunk.counted:
-            raise _break_stream("a token after the finish reason")
-        if chunk.counted:
+        if self.finish_reason is not None and chunk.is_token:
+            raise _make_stream_error("a token after the finish reason")
+        if chunk.is_token:
             self.tokens += 1
         if self.tokens > self.limits.max_tokens:
             raise EndpointError("answer is too long", Code.ANSWER_TOO_LARGE)
@@ -198,27 +198,27 @@
         while following is not None:
             self._advance(following)
             ready.append(following)
-            following = self._held.pop(self.next_index, None)
+            following = self._held_chunks.pop(self.next_index, None)
         return tuple(ready)
 
-    def _drop_repeat(self) -> tuple[Chunk, ...]:
+    def _drop_repeated_chunk(self) -> tuple[Chunk, ...]:
         """Drop a chunk that came before, up to a bound."""
         self._repeats += 1
         if self._repeats > self.limits.max_repeats:
-            raise _break_stream("only repeated chunks")
+            raise _make_stream_error("only repeated chunks")
         return ()
 
     def _explain_end(self) -> str:
         """Say what is missing from the end of the answer."""
         if not self._done_seen:
             return f"no end marker after chunk {self.next_index - 1}"
-        if self._held:
+        if self._held_chunks:
             return f"chunk {self.next_index} is missing"
         if self.finish_reason is None or self.usage is None:
             return "end marker without finish reason and usage"
         return f"{self.tokens} tokens came of {self.usage.completion_tokens}"
 
 
-def _break_stream(detail: str) -> EndpointError:
+def _make_stream_error(detail: str) -> EndpointError:
     """Make the error of a broken stream."""
     return EndpointError(f"stream broken: {detail}", Code.STREAM_BROKEN)
--- a/packages/core/src/bergamotwood_core/usage.py
+++ b/packages/core/src/bergamotwood_core/usage.py
@@ -8,7 +8,7 @@
 DEFAULT_OUTPUT_TOKENS = 300.0
 DEFAULT_TOKEN_SECONDS = 0.03
 # Answers that the moving averages of usage remember.
-USAGE_MEMORY = 50.0
+USAGE_WINDOW_ANSWERS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     output_price: float
     first_token_seconds: float
 
-    def price(self, prompt_tokens: float, output_tokens: float) -> float:
+    def compute_cost(self, prompt_tokens: float, output_tokens: float) -> float:
         """Cost units of one answer."""
         cost = self.input_price * prompt_tokens + self.output_price * output_tokens
         return cost / 1_000.0
@@ -57,7 +57,7 @@
     def add(self, usage: Usage) -> None:
         """Take one answer in."""
         self.count += 1
-        weight = 1.0 / min(self.count, USAGE_MEMORY)
+        weight = 1.0 / min(self.count, USAGE_WINDOW_ANSWERS)
         decode = max(usage.total_seconds - usage.first_token_seconds, 0.0)
         self.output_tokens += weight * (usage.output_tokens - self.output_tokens)
         self.decode_seconds += weight * (decode - self.decode_seconds)
--- a/packages/daemon/src/bergamotwood_daemon/attempts.py
+++ b/packages/daemon/src/bergamotwood_daemon/attempts.py
@@ -18,7 +18,7 @@
     record_start,
     record_success,
 )
-from bergamotwood_core.placement import Need, choose_endpoint
+from bergamotwood_core.placement import PlacementRequirements, choose_endpoint
 from bergamotwood_core.quarantine import Isolated
 from bergamotwood_core.tables import Endpoint
 from bergamotwood_core.target import Target
@@ -215,7 +215,7 @@
 ) -> Endpoint:
     excluded = frozenset(work.excluded | work.running)
     excluded |= list_apart(entry, work, target)
-    need = Need(
+    need = PlacementRequirements(
         target=target,
         data_centre=DataCentre(entry.settings.data_centre),
         nearby=tuple(map(DataCentre, entry.settings.nearby)),
--- a/packages/daemon/src/bergamotwood_daemon/chat.py
+++ b/packages/daemon/src/bergamotwood_daemon/chat.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Generator
 
-from bergamotwood_core.cascade import Plan
+from bergamotwood_core.cascade import CascadePlan
 from bergamotwood_core.errors import (
     BergamotwoodError,
     Code,
@@ -78,7 +78,7 @@
             return self._answer_once(call, plan)
         return self._answer_idempotent(call, plan)
 
-    def _answer_idempotent(self, call: ChatCall, plan: Plan) -> Response:
+    def _answer_idempotent(self, call: ChatCall, plan: CascadePlan) -> Response:
         streaming = False
         try:
             found = self._steps.run(call, plan.steps)
@@ -127,7 +127,7 @@
         self._steps.sample(call, found, join_text(whole))
         return encode_completion(call.work.id, whole, found.answer.usage, receipt)
 
-    def _answer_once(self, call: ChatCall, plan: Plan) -> Response:
+    def _answer_once(self, call: ChatCall, plan: CascadePlan) -> Response:
         """Run a non-idempotent request on one version, at most once."""
         keyed = KeyedRequest(
             call.work.workspace.key, call.key, call.digest, call.work.id
--- a/packages/daemon/src/bergamotwood_daemon/crashes.py
+++ b/packages/daemon/src/bergamotwood_daemon/crashes.py
@@ -20,9 +20,9 @@
 )
 from bergamotwood_core.ids import EndpointId, Incarnation
 from bergamotwood_core.quarantine import (
-    Failure,
-    GiveUp,
+    AttemptFailure,
     Isolated,
+    RefuseRequest,
     RunNow,
     WaitFor,
     assign_endpoints,
@@ -77,7 +77,7 @@
         match plan_dispatch(clearance, work.suspect, work.crash_granted, waited):
             case RunNow():
                 return
-            case GiveUp():
+            case RefuseRequest():
                 raise RefusedError("request is quarantined", Code.QUARANTINED)
             case WaitFor(seconds):
                 if now + seconds >= work.deadline:
@@ -117,7 +117,9 @@
     EndpointError
         A crash could not be recorded, so the request must not be sent again.
     """
-    failure = Failure(running=True, pooled=False, answered=broken.answered, reset=True)
+    failure = AttemptFailure(
+        running=True, pooled=False, answered=broken.answered, reset=True
+    )
     if is_crash(failure, _has_restarted(entry, broken), not _probe(entry, broken)):
         _record_crash(entry, work, broken)
         return
@@ -152,7 +154,7 @@
 
 
 def _watch_for_crash(
-    entry: Entry, work: Work, broken: BrokenAttempt, failure: Failure
+    entry: Entry, work: Work, broken: BrokenAttempt, failure: AttemptFailure
 ) -> None:
     """See later whether the endpoint had in fact crashed and come back."""
     sleep(CRASH_WATCH_SECONDS)
--- a/packages/daemon/src/bergamotwood_daemon/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/daemon.py
@@ -7,13 +7,13 @@
 from gevent.event import Event
 from gevent.pywsgi import WSGIServer
 
-from bergamotwood_core.admission import Admission, AdmissionSettings
+from bergamotwood_core.admission import AdmissionController, AdmissionSettings
 from bergamotwood_core.cascade import CascadePolicy, CascadeSettings
 from bergamotwood_core.control import ControlMachine
 from bergamotwood_core.ids import InstanceId
 from bergamotwood_core.ledger import LedgerMachine
 from bergamotwood_core.messages import Address
-from bergamotwood_core.orders import LoadPace
+from bergamotwood_core.orders import LoadRateLimit
 from bergamotwood_core.outcome import OutcomeCounter
 from bergamotwood_core.tables import Tables
 from bergamotwood_daemon.admittance import Admittance
@@ -210,7 +210,7 @@
             self.replicas.control,
             self.replicas.control_machine,
             self.replicas.directory.tables,
-            LoadPace(store.loads_per_second, store.burst),
+            LoadRateLimit(store.loads_per_second, store.burst),
             self.settings.order_key,
             read_clock,
         )
@@ -244,7 +244,7 @@
             ledger=ledger,
             claims=Claims(ledger, settings.timeouts.ledger, self.rng),
             policy=policy,
-            admission=Admission(AdmissionSettings()),
+            admission=AdmissionController(AdmissionSettings()),
             outcomes=outcomes,
             tracer=self._tracing.get_tracer("bergamotwood"),
             incarnation=self.incarnation,
--- a/packages/daemon/src/bergamotwood_daemon/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/entry.py
@@ -6,7 +6,7 @@
 
 from opentelemetry.trace import Tracer
 
-from bergamotwood_core.admission import Admission
+from bergamotwood_core.admission import AdmissionController
 from bergamotwood_core.cascade import CascadePolicy
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Workspace
@@ -74,7 +74,7 @@
     ledger: Proposer
     claims: Claims
     policy: CascadePolicy
-    admission: Admission
+    admission: AdmissionController
     outcomes: OutcomeCounter
     tracer: Tracer
     incarnation: int
--- a/packages/daemon/src/bergamotwood_daemon/ordering.py
+++ b/packages/daemon/src/bergamotwood_daemon/ordering.py
@@ -8,7 +8,7 @@
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.control import ControlMachine
 from bergamotwood_core.errors import EndpointError
-from bergamotwood_core.orders import LoadOrder, LoadPace, OrderTables, order_loads
+from bergamotwood_core.orders import LoadOrder, LoadRateLimit, OrderTables, order_loads
 from bergamotwood_core.tables import DirectoryTables
 from bergamotwood_daemon.endpointcall import EndpointCall, Header
 from bergamotwood_daemon.group import LogGroup
@@ -40,7 +40,7 @@
         What should be loaded.
     directory : DirectoryTables
         What is loaded.
-    pace : LoadPace
+    pace : LoadRateLimit
         The weight store's limit.
     key : str
         Shown to endpoints.
@@ -53,7 +53,7 @@
         group: LogGroup,
         machine: ControlMachine,
         directory: DirectoryTables,
-        pace: LoadPace,
+        pace: LoadRateLimit,
         key: str,
         clock: Callable[[], Seconds],
     ) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/replicas.py
+++ b/packages/daemon/src/bergamotwood_daemon/replicas.py
@@ -11,7 +11,7 @@
 from bergamotwood_core.errors import NotLeaderError, ReplicationError
 from bergamotwood_core.ids import InstanceId, RolloutId, TicketNumber
 from bergamotwood_core.ledger import LedgerMachine
-from bergamotwood_core.rollout import RolloutWatch, merge_reports
+from bergamotwood_core.rollout import RolloutMonitor, merge_reports
 from bergamotwood_core.states import Run
 from bergamotwood_daemon.directoryfeed import DirectoryFeed
 from bergamotwood_daemon.feed import ControlFeed
@@ -78,7 +78,7 @@
         self.control = control
         self.ledger = ledger
         self.directory = directory
-        self.rollout_watches: dict[RolloutId, RolloutWatch] = {}
+        self.rollout_watches: dict[RolloutId, RolloutMonitor] = {}
         self._feed = feed
         self._ledger_machine = ledger_machine
         self._relays = [
--- a/packages/daemon/src/bergamotwood_daemon/steps.py
+++ b/packages/daemon/src/bergamotwood_daemon/steps.py
@@ -6,14 +6,14 @@
 
 from gevent import spawn
 
-from bergamotwood_core.cascade import Plan, Usage
+from bergamotwood_core.cascade import CascadePlan, Usage
 from bergamotwood_core.errors import (
     BergamotwoodError,
     Code,
     EndpointError,
     RefusedError,
 )
-from bergamotwood_core.evidence import CellKey
+from bergamotwood_core.evidence import EstimateKey
 from bergamotwood_core.frontier import Step
 from bergamotwood_core.ids import VersionId
 from bergamotwood_core.outcome import Outcome
@@ -38,7 +38,7 @@
         What a version answers.
     chunks : iterator of Chunk
         The answer, from its first chunk.
-    key : CellKey
+    key : EstimateKey
         What its ratings are about.
     score : float or None
         Rating before it was returned, if it was rated.
@@ -46,7 +46,7 @@
 
     answer: VersionAnswer
     chunks: Iterator[Chunk]
-    key: CellKey
+    key: EstimateKey
     score: float | None = None
 
 
@@ -65,7 +65,7 @@
         self._entry = entry
         self._ratings = ratings
 
-    def plan(self, call: ChatCall) -> Plan:
+    def plan(self, call: ChatCall) -> CascadePlan:
         """Choose the steps by the configuration in force now."""
         return self._entry.policy.plan(
             call.work.workspace,
@@ -110,7 +110,9 @@
         if entity is None:
             raise RefusedError(f"version {version} is gone", Code.VERSION_WITHDRAWN)
         answer = VersionAnswer(self._entry, call.work, entity, call.document)
-        key = CellKey(call.work.workspace.key, call.request_class, version, number > 0)
+        key = EstimateKey(
+            call.work.workspace.key, call.request_class, version, number > 0
+        )
         return StepAnswer(answer, answer.stream(), key)
 
     def learn(self, call: ChatCall, returned: StepAnswer) -> None:
@@ -126,7 +128,7 @@
         version = answer.version.version_id
         policy = self._entry.policy
         policy.record_answer(call.request_class, version, usage)
-        policy.record_return(call.work.workspace, returned.key, returned.score)
+        policy.record_returned_answer(call.work.workspace, returned.key, returned.score)
         self._entry.outcomes.count_outcome(Outcome(version, False, first))
 
     def note_failure(self, failed: StepAnswer, error: BergamotwoodError) -> None:
@@ -177,7 +179,7 @@
         if second is not None:
             # The answer was selected by its first rating, so that the second one
             # tells about the selection and not about the version.
-            self._entry.policy.record_repeat(returned.score, second)
+            self._entry.policy.record_repeated_rating(returned.score, second)
 
     def _rate(self, call: ChatCall, rated: StepAnswer, text: str) -> float | None:
         score = self._ask(call, rated, text)
--- a/packages/daemon/src/bergamotwood_daemon/ticker.py
+++ b/packages/daemon/src/bergamotwood_daemon/ticker.py
@@ -110,9 +110,11 @@
             if progress is None or model is None:
                 continue
             if progress.state not in ACTIVE_STATES:
-                outcomes.forget(id)
+                outcomes.stop_counting(id)
                 continue
-            outcomes.watch(id, progress.ticket, rollout.candidate, model.current)
+            outcomes.start_counting(
+                id, progress.ticket, rollout.candidate, model.current
+            )
 
     def _pass_ledger_time(self, now: Seconds) -> None:
         """Let the ledger's time pass, while this replica leads it."""
--- a/packages/daemon/src/bergamotwood_daemon/watch.py
+++ b/packages/daemon/src/bergamotwood_daemon/watch.py
@@ -169,7 +169,7 @@
 
     def _take_ratings(self) -> tuple[Evidence, ...]:
         evidence = self._policy.take_evidence()
-        return (evidence,) if evidence.cells else ()
+        return (evidence,) if evidence.histograms else ()
 
     def _exchange(self, name: InstanceId, request: PollRequest, limit: float) -> bool:
         sent_at = self._clock()
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,7 +1,7 @@
 from collections import Counter
 
 from bergamotwood_core.admission import (
-    Admission,
+    AdmissionController,
     AdmissionSettings,
     Admitted,
     Queued,
@@ -18,12 +18,16 @@
 LATER = Seconds(1_000.0)
 
 
-def make_workspace(name: str = "w", share: float = 1.0, most: int = 100) -> Workspace:
-    return Workspace(name=name, share=share, max_in_flight=most)
+def make_workspace(
+    name: str = "w", share: float = 1.0, max_in_flight: int = 100
+) -> Workspace:
+    return Workspace(name=name, share=share, max_in_flight=max_in_flight)
 
 
-def make_admission(limit: int = 4, **fields) -> Admission:
-    return Admission(AdmissionSettings(limit=limit, max_wait_seconds=1e6, **fields))
+def make_admission(limit: int = 4, **fields) -> AdmissionController:
+    return AdmissionController(
+        AdmissionSettings(limit=limit, max_wait_seconds=1e6, **fields)
+    )
 
 
 def offer_many(admission, workspace, count, priority=Priority.NORMAL, deadline=LATER):
@@ -33,14 +37,14 @@
     }
 
 
-def test_free_slots_are_given_at_once_and_the_rest_wait():
+def test_requests_beyond_the_free_slots_are_queued():
     admission = make_admission(limit=2)
     decisions = list(offer_many(admission, make_workspace(), 3).values())
     assert decisions == [Admitted(), Admitted(), Queued()]
     assert (admission.in_flight, admission.queued) == (2, 1)
 
 
-def test_a_flood_takes_no_more_than_its_share():
+def test_overloading_workspace_gets_no_more_than_its_fair_share():
     admission = make_admission(limit=12)
     flood, small = make_workspace("flood"), make_workspace("small", share=2.0)
     decisions = offer_many(admission, flood, 100) | offer_many(admission, small, 40)
@@ -51,7 +55,7 @@
     assert held == {"flood": 4, "small": 8}
 
 
-def test_a_workspace_below_its_share_need_not_wait_for_a_flood():
+def test_workspace_below_its_share_is_admitted_from_the_reserve():
     admission = make_admission(limit=20)
     offer_many(admission, make_workspace("flood"), 100)
     decisions = list(offer_many(admission, make_workspace("small"), 5).values())
@@ -59,15 +63,15 @@
     assert admission.in_flight == 23
 
 
-def test_a_workspace_keeps_to_its_limit_while_slots_are_free():
+def test_workspace_limit_applies_while_slots_are_free():
     admission = make_admission(limit=10)
-    workspace = make_workspace(most=2)
+    workspace = make_workspace(max_in_flight=2)
     decisions = list(offer_many(admission, workspace, 3).values())
     assert decisions[2] == Queued()
     assert admission.release(RequestId("w-1-0"), NOW) == ("w-1-2",)
 
 
-def test_a_higher_priority_goes_first_and_takes_the_last_place():
+def test_higher_priority_runs_first_and_displaces_from_a_full_queue():
     admission = make_admission(limit=1, max_queued=2)
     workspace = make_workspace()
     offer_many(admission, workspace, 1)
@@ -82,7 +86,7 @@
     assert admission.queued == 0
 
 
-def test_a_request_that_cannot_start_in_time_is_refused_at_once():
+def test_request_that_cannot_start_before_its_deadline_is_refused_at_once():
     admission = make_admission(limit=1, service_seconds=2.0)
     workspace = make_workspace()
     offer_many(admission, workspace, 3)
@@ -95,7 +99,7 @@
     assert first == Queued()
 
 
-def test_a_queued_request_past_its_deadline_is_given_up():
+def test_queued_request_expires_at_its_deadline():
     admission = make_admission(limit=1, service_seconds=0.5)
     workspace = make_workspace()
     offer_many(admission, workspace, 2)
@@ -108,16 +112,16 @@
     assert admission.release(RequestId("w-1-1"), deadline) == ()
 
 
-def test_a_long_wait_is_refused_with_the_time_to_come_back():
+def test_expected_wait_over_the_limit_is_refused_with_a_retry_delay():
     settings = AdmissionSettings(limit=1, max_wait_seconds=3.0, service_seconds=1.0)
-    admission = Admission(settings)
+    admission = AdmissionController(settings)
     decisions = offer_many(admission, make_workspace(), 10)
     refused = [d for d in decisions.values() if isinstance(d, Refused)]
     assert len(refused) == 6
     assert all(d.code is Code.OVERLOADED and d.retry_after > 1 for d in refused)
 
 
-def test_cancel_frees_a_slot_or_a_place():
+def test_cancel_frees_a_slot_or_a_queue_position():
     admission = make_admission(limit=1)
     offer_many(admission, make_workspace(), 3)
     assert admission.cancel(RequestId("w-1-1"), NOW) == ()
@@ -142,7 +146,7 @@
     assert admission.set_limit("", 3, NOW) == ("w-1-1", "w-1-2")
 
 
-def test_an_entry_borrows_what_the_others_leave():
+def test_entry_limit_grows_with_unused_capacity():
     assert compute_limit(90, 90, 10, 9) == 10
     assert compute_limit(90, 0, 0, 9) == 10
     assert compute_limit(90, 36, 30, 9) == 36
--- a/tests/core/test_cascade.py
+++ b/tests/core/test_cascade.py
@@ -6,7 +6,7 @@
 from bergamotwood_core.cascade import CascadePolicy, CascadeSettings, classify_request
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Workspace
-from bergamotwood_core.evidence import CellKey, Evidence, EvidenceCell
+from bergamotwood_core.evidence import EstimateKey, Evidence, EvidenceHistogram
 from bergamotwood_core.ids import RequestClass, VersionId, WorkspaceId
 from bergamotwood_core.usage import Candidate, Usage
 
@@ -28,7 +28,7 @@
 
 
 def rate(policy, version, score, count=40, now=0.0):
-    key = CellKey(KUBWA, LETTERS, version)
+    key = EstimateKey(KUBWA, LETTERS, version)
     for _ in range(count):
         policy.record_rating(key, score, Seconds(now))
 
@@ -50,7 +50,7 @@
     return plans
 
 
-def test_class_follows_the_size_unless_it_is_named():
+def test_request_class_follows_the_prompt_size_unless_it_is_named():
     assert classify_request(10) == "short"
     assert classify_request(2_000) == "medium"
     assert classify_request(90_000) == "long"
@@ -72,7 +72,7 @@
     assert all(plan.steps[0].version == LARGE for plan in plan_many(policy))
 
 
-def test_version_that_turns_bad_is_left(policy):
+def test_version_whose_quality_drops_is_not_used_unrated(policy):
     rate(policy, SMALL, 0.95, count=200)
     rate(policy, LARGE, 0.95)
     rate(policy, SMALL, 0.1, count=15)
@@ -87,7 +87,7 @@
     assert all([step.version for step in p.steps] == [LARGE] for p in plans)
 
 
-def test_refusing_rating_service_is_asked_less(policy):
+def test_plans_end_with_the_large_version_when_ratings_are_refused(policy):
     rate_in_turn(policy, SMALL, 0.2, 0.95)
     for now in range(50):
         policy.record_refusal(Seconds(float(now)))
@@ -95,10 +95,10 @@
     assert all(plan.steps[-1].version == LARGE for plan in plans)
 
 
-def test_refused_budget_slows_down():
+def test_rating_budget_refills_more_slowly_after_refusals():
     budget = RatingBudget(per_second=100.0, burst=20.0)
     for now in range(50):
-        budget.refuse(Seconds(float(now)))
+        budget.record_refusal(Seconds(float(now)))
     taken = sum(budget.take(Seconds(49.0 + n / 100.0)) for n in range(1_000))
     assert taken < 150
 
@@ -128,18 +128,18 @@
         policy.merge_evidence(evidence)
     rate(policy, SMALL, 0.9, count=1)
     mine = policy.take_evidence()
-    assert sum(mine.cells[0].counts) == 1
-    estimate = policy.find_estimate(CellKey(KUBWA, LETTERS, SMALL))
+    assert sum(mine.histograms[0].counts) == 1
+    estimate = policy.find_estimate(EstimateKey(KUBWA, LETTERS, SMALL))
     assert estimate.ratings.weight == pytest.approx(11, abs=0.5)
 
 
-def test_poisoned_evidence_is_bounded(policy):
+def test_malformed_or_excessive_evidence_has_a_bounded_effect(policy):
     rate(policy, SMALL, 0.9, count=200)
-    key = CellKey(KUBWA, LETTERS, SMALL)
+    key = EstimateKey(KUBWA, LETTERS, SMALL)
     before = policy.find_estimate(key).mean
-    huge = EvidenceCell(key, (10**9, *([0] * 19)), (0.0, *([0.0] * 19)))
-    broken = EvidenceCell(key, (5,), (float("nan"),))
-    outside = EvidenceCell(key, (1, *([0] * 19)), (-7.0, *([0.0] * 19)))
+    huge = EvidenceHistogram(key, (10**9, *([0] * 19)), (0.0, *([0.0] * 19)))
+    broken = EvidenceHistogram(key, (5,), (float("nan"),))
+    outside = EvidenceHistogram(key, (1, *([0] * 19)), (-7.0, *([0.0] * 19)))
     policy.merge_evidence(Evidence("c/1", 1, (broken, outside)))
     assert policy.find_estimate(key).mean == before
     policy.merge_evidence(Evidence("c/1", 2, (huge,)))
@@ -149,10 +149,10 @@
 
 
 def test_invalid_scores_are_dropped(policy):
-    key = CellKey(KUBWA, LETTERS, SMALL)
+    key = EstimateKey(KUBWA, LETTERS, SMALL)
     for score in (float("nan"), -0.1, 1.1, float("inf")):
         policy.record_rating(key, score, Seconds(0.0))
-    assert policy.take_evidence().cells == ()
+    assert policy.take_evidence().histograms == ()
 
 
 def test_last_step_is_never_rated_and_no_version_runs_twice():
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -55,13 +55,13 @@
 
 
 LEAVING = EndpointState.LEAVING
-WORDS = (announce(1, 1), announce(1, 2), announce(1, 3, LEAVING))
+ANNOUNCEMENTS = (announce(1, 1), announce(1, 2), announce(1, 3, LEAVING))
 
 
-@pytest.mark.parametrize("words", list(permutations(WORDS)))
-def test_leaving_wins_in_any_order_of_arrival(tables, words):
-    for word in words:
-        merge_announcement(tables, word, 0.0)
+@pytest.mark.parametrize("announcements", list(permutations(ANNOUNCEMENTS)))
+def test_leaving_wins_in_any_order_of_arrival(tables, announcements):
+    for announcement in announcements:
+        merge_announcement(tables, announcement, 0.0)
     assert not tables.endpoints["e1"].serving
 
 
@@ -78,23 +78,23 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_daemons_that_hear_the_same_words_agree(words, shuffler):
-    unique = list({(w.incarnation, w.sequence): w for w in words}.values())
+def test_daemons_agree_whatever_the_order_of_announcements(announcements, shuffler):
+    unique = list({(w.incarnation, w.sequence): w for w in announcements}.values())
     first, second = DirectoryTables(), DirectoryTables()
-    for word in unique:
-        merge_announcement(first, word, 0.0)
+    for announcement in unique:
+        merge_announcement(first, announcement, 0.0)
     shuffler.shuffle(unique)
-    for word in unique:
-        merge_announcement(second, word, 0.0)
+    for announcement in unique:
+        merge_announcement(second, announcement, 0.0)
     one, two = first.endpoints["e1"], second.endpoints["e1"]
     assert one.serving == two.serving
     assert one.announcement.incarnation == two.announcement.incarnation
-    newest = max(word.incarnation for word in unique)
+    newest = max(announcement.incarnation for announcement in unique)
     left = any(w.incarnation == newest and w.state is LEAVING for w in unique)
     assert one.serving != left
 
 
-def test_new_incarnation_voids_what_was_before(tables):
+def test_new_incarnation_discards_the_previous_state(tables):
     merge_announcement(tables, replace(announce(), prefixes=(7,)), 0.0)
     old = tables.endpoints["e1"]
     old.outstanding = 5
@@ -116,29 +116,29 @@
     assert (endpoint.outstanding, endpoint.outstanding_at_report) == (4, 4)
 
 
-def test_membership_rises_with_what_placement_reads_only(tables):
+def test_membership_changes_only_with_fields_that_placement_reads(tables):
     seen = []
-    for word in (
+    for announcement in (
         announce(1, 1),
         replace(announce(1, 2), load=3.0),
         replace(announce(1, 3), versions=("small:2",)),
         announce(1, 2, LEAVING),
         announce(2, 1),
     ):
-        merge_announcement(tables, word, 0.0)
+        merge_announcement(tables, announcement, 0.0)
         seen.append(tables.membership)
     expire_endpoints(tables, 9.0)
     assert [*seen, tables.membership] == [1, 1, 2, 3, 4, 5]
 
 
-def test_repeated_word_does_not_keep_an_endpoint_alive(tables):
+def test_repeated_announcement_does_not_postpone_expiry(tables):
     merge_announcement(tables, announce(1, 1), 0.0)
     assert not merge_announcement(tables, announce(1, 1), 4.0)
     assert expire_endpoints(tables, 5.0) == ()
     assert expire_endpoints(tables, 5.1) == ("e1",)
 
 
-def test_late_word_does_not_resurrect_an_endpoint(tables):
+def test_late_announcement_does_not_restore_an_expired_endpoint(tables):
     merge_announcement(tables, announce(2, 5), 0.0)
     expire_endpoints(tables, 6.0)
     assert not merge_announcement(tables, announce(2, 5), 6.5)
@@ -153,10 +153,10 @@
     assert merge_announcement(tables, announce(3, 0), 7.0)
 
 
-def test_departures_are_forgotten_in_time(tables):
+def test_departures_are_removed_after_the_retention_time(tables):
     merge_announcement(tables, announce(), 0.0)
     expire_endpoints(tables, 6.0)
-    expire_endpoints(tables, 6.0 + directory.DEPARTURE_RETENTION + 1.0)
+    expire_endpoints(tables, 6.0 + directory.DEPARTURE_RETENTION_SECONDS + 1.0)
     assert not tables.departed_endpoints
 
 
@@ -179,13 +179,13 @@
     assert merge_report(tables, report(incarnation=2), 6.0)
 
 
-def test_draining_report_that_comes_late_still_counts(tables):
+def test_late_draining_report_is_applied(tables):
     merge_report(tables, report(sequence=3), 0.0)
     assert merge_report(tables, report(sequence=2, state=EntryState.DRAINING), 0.0)
     assert choose_addresses(tables, None, 0, 0.0, Random(1), 9) == ()
 
 
-def test_addresses_are_fresh_near_and_never_leaving(tables):
+def test_addresses_are_ordered_by_freshness_and_distance_without_draining(tables):
     for item in (
         report("old", applied=1),
         report("far", applied=5, data_centre="westlands"),
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -7,7 +7,7 @@
 from bergamotwood_core.dispatch import check_dispatch
 from bergamotwood_core.errors import BergamotwoodError, Code
 from bergamotwood_core.ids import EndpointId, Fingerprint
-from bergamotwood_core.quarantine import Isolated, Ordinary
+from bergamotwood_core.quarantine import Isolated, Unsuspected
 from bergamotwood_core.states import EndpointState, Run, VersionState
 from bergamotwood_core.tables import Suspect, Tables
 from bergamotwood_core.target import ServiceTarget, VersionTarget
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Case:
+class DispatchCase:
     """A dispatch that would be allowed until something changes."""
 
     tables: Tables = field(
@@ -28,7 +28,7 @@
     target: VersionTarget | ServiceTarget = VersionTarget(VERSION)
     config_age: float = 4.9
 
-    def check(self) -> Ordinary | Isolated:
+    def check(self) -> Unsuspected | Isolated:
         return check_dispatch(
             self.tables,
             WORKSPACE,
@@ -40,61 +40,61 @@
         )
 
 
-def test_an_allowed_attempt_passes():
-    assert Case().check() == Ordinary()
-    assert Case(target=ServiceTarget(SERVICE)).check() == Ordinary()
+def test_unchanged_attempt_is_allowed():
+    assert DispatchCase().check() == Unsuspected()
+    assert DispatchCase(target=ServiceTarget(SERVICE)).check() == Unsuspected()
 
 
-def test_a_suspect_passes_in_isolation_only():
-    case = Case()
+def test_suspect_is_allowed_only_in_isolation():
+    case = DispatchCase()
     case.tables.configuration.suspects[FINGERPRINT] = Suspect(1, EndpointId("x"))
     assert case.check() == Isolated(EndpointId("x"))
 
 
-def age_configuration(case: Case) -> None:
+def age_configuration(case: DispatchCase) -> None:
     case.config_age = 5.1
 
 
-def withdraw_version(case: Case) -> None:
+def withdraw_version(case: DispatchCase) -> None:
     versions = case.tables.configuration.versions
     versions[VERSION] = versions[VERSION].model_copy(
         update={"state": VersionState.WITHDRAWN}
     )
 
 
-def remove_version(case: Case) -> None:
+def remove_version(case: DispatchCase) -> None:
     del case.tables.configuration.versions[VERSION]
 
 
-def revoke_version(case: Case) -> None:
+def revoke_version(case: DispatchCase) -> None:
     workspaces = case.tables.configuration.workspaces
     workspaces[WORKSPACE] = workspaces[WORKSPACE].model_copy(update={"versions": ()})
 
 
-def remove_workspace(case: Case) -> None:
+def remove_workspace(case: DispatchCase) -> None:
     del case.tables.configuration.workspaces[WORKSPACE]
 
 
-def remove_service(case: Case) -> None:
+def remove_service(case: DispatchCase) -> None:
     case.target = ServiceTarget(SERVICE)
     del case.tables.configuration.services[SERVICE]
 
 
-def lose_endpoint(case: Case) -> None:
+def remove_endpoint(case: DispatchCase) -> None:
     del case.tables.directory.endpoints[ENDPOINT]
 
 
-def drain_endpoint(case: Case) -> None:
+def drain_endpoint(case: DispatchCase) -> None:
     case.tables.directory.endpoints[ENDPOINT] = make_endpoint(
         "e", state=EndpointState.LEAVING
     )
 
 
-def unload_version(case: Case) -> None:
+def unload_version(case: DispatchCase) -> None:
     case.tables.directory.endpoints[ENDPOINT] = make_endpoint("e", versions=())
 
 
-def quarantine_request(case: Case) -> None:
+def quarantine_request(case: DispatchCase) -> None:
     case.tables.configuration.suspects[FINGERPRINT] = Suspect(2, EndpointId("x"))
 
 
@@ -107,14 +107,14 @@
         (revoke_version, Code.MODEL_NOT_ALLOWED),
         (remove_workspace, Code.FORBIDDEN),
         (remove_service, Code.FORBIDDEN),
-        (lose_endpoint, Code.NO_ENDPOINT),
+        (remove_endpoint, Code.NO_ENDPOINT),
         (drain_endpoint, Code.NO_ENDPOINT),
         (unload_version, Code.NO_ENDPOINT),
         (quarantine_request, Code.QUARANTINED),
     ],
 )
-def test_what_changed_after_admission_stops_the_attempt(change, code):
-    case = Case()
+def test_change_after_admission_blocks_the_dispatch(change, code):
+    case = DispatchCase()
     case.check()
     change(case)
     with pytest.raises(BergamotwoodError) as caught:
--- a/tests/core/test_estimate.py
+++ b/tests/core/test_estimate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bergamotwood_core.estimate import MEMORY_RATINGS, Estimate, SelectionBias
+from bergamotwood_core.estimate import RATING_TIME_CONSTANT, Estimate, SelectionBias
 
 
 def draw(rng, good):
@@ -21,11 +21,11 @@
     assert estimate.standard_error < before / 3
 
 
-def test_prior_stands_without_ratings():
+def test_mean_is_the_prior_without_ratings():
     assert Estimate(0.7).mean == pytest.approx(0.7)
 
 
-def test_drop_of_quality_is_taken_up_within_few_ratings():
+def test_quality_drop_is_detected_within_a_few_ratings():
     rng = Random(2)
     estimate = Estimate(0.6)
     for _ in range(300):
@@ -35,7 +35,7 @@
     assert estimate.mean < 0.6
 
 
-def test_slow_drift_is_followed():
+def test_estimate_follows_slow_drift():
     rng = Random(3)
     estimate = Estimate(0.6)
     for index in range(2_000):
@@ -47,10 +47,10 @@
     estimate = Estimate(0.6)
     for _ in range(10_000):
         estimate.add(0.9)
-    assert estimate.ratings.weight <= MEMORY_RATINGS
+    assert estimate.ratings.weight <= RATING_TIME_CONSTANT
 
 
-def test_acceptance_matches_what_is_accepted():
+def test_acceptance_matches_the_observed_scores():
     rng = Random(4)
     estimate = Estimate(0.6)
     scores = [draw(rng, 0.7) for _ in range(250)]
@@ -62,7 +62,7 @@
     assert quality == pytest.approx(sum(accepted) / len(accepted), abs=0.05)
 
 
-def test_selection_bias_is_what_accepted_scores_lose_when_rated_again():
+def test_selection_bias_is_the_score_drop_on_a_second_rating():
     rng = Random(5)
     exact, noisy = SelectionBias(), SelectionBias()
     for _ in range(400):
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -7,7 +7,7 @@
 from bergamotwood_core.messages import Address, Announcement
 from bergamotwood_core.orders import (
     LOAD_RETRY_SECONDS,
-    LoadPace,
+    LoadRateLimit,
     OrderTables,
     order_loads,
 )
@@ -15,8 +15,8 @@
 from bergamotwood_core.tables import ConfigurationTables, DirectoryTables, Endpoint
 
 TOKEN = FencingToken(Term(3), LogIndex(7))
-PACE = LoadPace(loads_per_second=2.0, burst=3)
-ALL_AT_ONCE = LoadPace(loads_per_second=1000.0, burst=1000)
+RATE_LIMIT = LoadRateLimit(loads_per_second=2.0, burst=3)
+ALL_AT_ONCE = LoadRateLimit(loads_per_second=1000.0, burst=1000)
 
 
 def build_configuration(candidate_state=VersionState.SERVING, rollout=True):
@@ -24,8 +24,8 @@
     configuration = ConfigurationTables()
     configuration.models["m"] = Model(name="m", current="m:1", versions=versions)
     if rollout:
-        move = Rollout(name="r", model="m", candidate="m:2")
-        configuration.rollouts["r"] = move
+        rollout_entity = Rollout(name="r", model="m", candidate="m:2")
+        configuration.rollouts["r"] = rollout_entity
     return configuration
 
 
@@ -47,8 +47,12 @@
     return directory
 
 
-def order_at(now, configuration, directory, orders, pace=ALL_AT_ONCE, token=TOKEN):
-    found = order_loads(configuration, directory, orders, token, pace, Seconds(now))
+def order_at(
+    now, configuration, directory, orders, rate_limit=ALL_AT_ONCE, token=TOKEN
+):
+    found = order_loads(
+        configuration, directory, orders, token, rate_limit, Seconds(now)
+    )
     return [(order.endpoint, order.version) for order in found]
 
 
@@ -72,27 +76,27 @@
     assert run_all(build_configuration(), leaving) == []
 
 
-def test_a_model_that_none_has_goes_to_the_emptiest_endpoints():
+def test_model_loaded_nowhere_goes_to_the_endpoints_with_fewest_versions():
     directory = build_directory(("a", ("x:1", "y:1")), ("b", ()), ("c", ("x:1",)))
     found = run_all(build_configuration(rollout=False), directory)
     assert found == [("b", "m:1"), ("c", "m:1")]
 
 
-def test_loads_are_paced_and_a_new_leader_begins_without_a_burst():
+def test_loads_are_rate_limited_and_a_new_leader_starts_without_a_burst():
     directory = build_directory(*((f"e{at:02}", ("m:1",)) for at in range(40)))
     configuration = build_configuration()
     orders = OrderTables()
     counts = []
     for tick in range(41):
         counts.append(
-            len(order_at(tick * 0.25, configuration, directory, orders, PACE))
+            len(order_at(tick * 0.25, configuration, directory, orders, RATE_LIMIT))
         )
     assert counts[0] == 0
     assert sum(counts) == 20
-    assert max(counts) <= PACE.burst
+    assert max(counts) <= RATE_LIMIT.burst
 
 
-def test_a_load_that_does_not_show_is_ordered_again_later():
+def test_load_that_is_not_announced_is_ordered_again():
     directory = build_directory(("a", ("m:1",)))
     configuration = build_configuration()
     orders = OrderTables()
@@ -103,7 +107,7 @@
     assert order_at(later, configuration, directory, orders) == [("a", "m:2")]
 
 
-def test_without_the_lease_nothing_is_ordered_and_all_is_forgotten():
+def test_without_the_lease_nothing_is_ordered_and_the_state_is_cleared():
     directory = build_directory(("a", ("m:1",)))
     configuration = build_configuration()
     orders = OrderTables()
@@ -162,49 +166,51 @@
                     self.order(node)
 
 
-def wake_an_old_leader(seed):
-    """Pause the leader until another has ordered; return the world and both."""
-    world = OrderingCluster(seed)
-    cluster = world.cluster
-    world.run(10.0)
+def resume_paused_leader(seed):
+    """Pause the leader until another has ordered; return the ordering and both."""
+    ordering = OrderingCluster(seed)
+    cluster = ordering.cluster
+    ordering.run(10.0)
     old = cluster.find_leader()
-    world.note(f"{old.instance} leads term {old.replica.term} and is paused")
+    ordering.note(f"{old.instance} leads term {old.replica.term} and is paused")
     cluster.pause(old, 8.0)
-    world.run(7.9)
+    ordering.run(7.9)
     new = cluster.find_leader()
-    world.note(f"{new.instance} leads term {new.replica.term}")
+    ordering.note(f"{new.instance} leads term {new.replica.term}")
     cluster.now = old.paused_until
-    world.note(f"{old.instance} wakes, still thinks it leads: {old.replica.is_leader}")
+    ordering.note(
+        f"{old.instance} wakes, still thinks it leads: {old.replica.is_leader}"
+    )
     for _ in range(3):
-        before = len(world.received)
-        world.order(old)
-        world.note(f"{old.instance} orders {len(world.received) - before} loads")
+        before = len(ordering.received)
+        ordering.order(old)
+        ordering.note(f"{old.instance} orders {len(ordering.received) - before} loads")
         cluster.now += 0.001
-    return world, old, new
+    return ordering, old, new
 
 
-def test_an_old_leader_that_wakes_after_a_long_pause_orders_nothing():
-    world, old, new = wake_an_old_leader(seed=3)
+def test_leader_resumed_after_a_long_pause_orders_nothing():
+    ordering, old, new = resume_paused_leader(seed=3)
     assert old is not new and old.replica.is_leader
-    by_term = [token.term for _, token, _ in world.received]
+    by_term = [token.term for _, token, _ in ordering.received]
     assert set(by_term) == {new.replica.term - 1, new.replica.term}
     assert by_term == sorted(by_term)
-    assert not any(refused for _, _, refused in world.received)
+    assert not any(refused for _, _, refused in ordering.received)
 
 
-def test_an_old_leader_without_the_lease_rule_is_seen_in_the_trace(monkeypatch):
+def test_resumed_leader_orders_stale_loads_without_the_lease_check(monkeypatch):
     monkeypatch.setattr(
         "bergamotwood_core.replica.Replica.holds_lease",
         lambda self, now: self.is_leader,
     )
     monkeypatch.setattr("core.logcluster.Cluster.check", lambda self, node: None)
-    world, old, _ = wake_an_old_leader(seed=3)
-    world.orders[old.instance] = OrderTables(allowance=10.0)
-    world.order(old)
-    late = [item for item in world.received if item[1].term == old.replica.term][-2:]
+    ordering, old, _ = resume_paused_leader(seed=3)
+    ordering.orders[old.instance] = OrderTables(allowance=10.0)
+    ordering.order(old)
+    late = [item for item in ordering.received if item[1].term == old.replica.term][-2:]
     assert ("plain", late[0][1], False) in late
     assert any(refused for endpoint, _, refused in late if endpoint == "fenced")
 
 
 if __name__ == "__main__":
-    print("\n".join(wake_an_old_leader(seed=3)[0].trace))
+    print("\n".join(resume_paused_leader(seed=3)[0].trace))
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -1,13 +1,13 @@
 from bergamotwood_core.ids import EndpointId, Fingerprint, WorkspaceId
 from bergamotwood_core.quarantine import (
-    Failure,
+    AttemptFailure,
     FinishedRequests,
-    GiveUp,
     Isolated,
     Isolation,
-    Ordinary,
     Quarantined,
+    RefuseRequest,
     RunNow,
+    Unsuspected,
     WaitFor,
     assign_endpoints,
     check_fingerprint,
@@ -21,7 +21,7 @@
 A, B = EndpointId("a"), EndpointId("b")
 
 
-def test_the_fingerprint_tells_workspace_path_and_body_apart():
+def test_fingerprint_depends_on_workspace_path_and_body():
     prints = {
         fingerprint_request(WorkspaceId(workspace), path, body)
         for workspace, path, body in [
@@ -37,9 +37,9 @@
     assert again in prints
 
 
-def test_two_crashes_quarantine():
+def test_fingerprint_is_quarantined_after_two_crashes():
     suspects = {Fingerprint("one"): Suspect(1, A), Fingerprint("two"): Suspect(2, B)}
-    assert check_fingerprint(suspects, Fingerprint("none")) == Ordinary()
+    assert check_fingerprint(suspects, Fingerprint("none")) == Unsuspected()
     assert check_fingerprint(suspects, Fingerprint("one")) == Isolated(A)
     assert check_fingerprint(suspects, Fingerprint("two")) == Quarantined(2)
 
@@ -57,28 +57,28 @@
 
 
 def test_a_pooled_connection_closed_between_requests_is_no_crash():
-    idle_close = Failure(running=False, pooled=True, answered=False, reset=True)
+    idle_close = AttemptFailure(running=False, pooled=True, answered=False, reset=True)
     assert not is_crash(idle_close, incarnation_changed=True, probe_failed=True)
 
 
 def test_a_reset_alone_is_no_crash():
-    reset = Failure(running=True, pooled=False, answered=True, reset=True)
+    reset = AttemptFailure(running=True, pooled=False, answered=True, reset=True)
     assert not is_crash(reset, incarnation_changed=False, probe_failed=False)
     assert is_crash(reset, incarnation_changed=True, probe_failed=False)
     assert is_crash(reset, incarnation_changed=False, probe_failed=True)
-    silent = Failure(running=True, pooled=False, answered=True, reset=False)
+    silent = AttemptFailure(running=True, pooled=False, answered=True, reset=False)
     assert not is_crash(silent, incarnation_changed=False, probe_failed=True)
 
 
 def test_a_suspect_waits_until_duplicates_elsewhere_are_known():
     suspect = Isolated(EndpointId("a"))
-    assert plan_dispatch(Ordinary(), False, False, 0.0) == RunNow()
-    assert plan_dispatch(Ordinary(), True, True, 0.0) != RunNow()
+    assert plan_dispatch(Unsuspected(), False, False, 0.0) == RunNow()
+    assert plan_dispatch(Unsuspected(), True, True, 0.0) != RunNow()
     assert plan_dispatch(suspect, True, True, 0.0) == WaitFor(1.0)
     assert plan_dispatch(suspect, True, True, 1.0) == RunNow()
     assert plan_dispatch(suspect, True, False, 1.5) == WaitFor(1.0)
     assert plan_dispatch(suspect, True, False, 8.0) == RunNow()
-    assert plan_dispatch(Quarantined(2), True, True, 0.0) == GiveUp()
+    assert plan_dispatch(Quarantined(2), True, True, 0.0) == RefuseRequest()
 
 
 def test_finished_fingerprints_are_remembered_within_a_bound():
@@ -90,7 +90,7 @@
     assert Fingerprint("c") in finished
 
 
-def test_every_entry_gives_suspects_the_same_endpoints_of_their_own():
+def test_all_entries_assign_the_same_separate_endpoints_to_suspects():
     suspects = {Fingerprint(f"s{n}"): Suspect(1, A) for n in range(5)}
     suspects[Fingerprint("bad")] = Suspect(2, A)
     endpoints = [EndpointId(f"e{n}") for n in range(9)]
--- a/tests/core/test_retry.py
+++ b/tests/core/test_retry.py
@@ -1,6 +1,6 @@
 from random import Random
 
-from bergamotwood_core.retry import HedgeBudget, RetryBudget, backoff_seconds
+from bergamotwood_core.retry import HedgeBudget, RetryBudget, compute_backoff
 
 
 def test_an_outage_adds_at_most_a_tenth_of_the_offered_attempts():
@@ -42,7 +42,7 @@
 
 def test_backoff_grows_to_its_cap_with_jitter():
     rng = Random(1)
-    delays = [backoff_seconds(attempt, rng) for attempt in range(200)]
+    delays = [compute_backoff(attempt, rng) for attempt in range(200)]
     assert all(0.0 < delay <= 10.0 for delay in delays)
     assert max(delays[:2]) < 0.25
     assert min(delays[10:]) >= 5.0
--- a/tests/core/test_rollout.py
+++ b/tests/core/test_rollout.py
@@ -9,11 +9,11 @@
 from bergamotwood_core.rollout import (
     Advance,
     Hold,
-    RolloutWatch,
+    RolloutMonitor,
     Stop,
     advance_rollouts,
     choose_version,
-    judge_rollout,
+    evaluate_rollout,
 )
 from bergamotwood_core.states import RolloutState, VersionState
 from bergamotwood_core.tables import (
@@ -30,36 +30,36 @@
 MODEL = Model(name="reader", current=OLD, versions=(Version(id=OLD), Version(id=NEW)))
 
 
-def run(counter, version, count, rng, failed=0.01, seconds=0.3, quality=0.9):
+def count_requests(counter, version, count, rng, failed=0.01, seconds=0.3, quality=0.9):
     for _ in range(count):
         counter.count_start(version)
-        bad = rng.random() < failed
-        first = None if bad else seconds * rng.lognormvariate(0.0, 0.3)
-        counter.count_outcome(Outcome(version, bad, first))
+        has_failed = rng.random() < failed
+        first = None if has_failed else seconds * rng.lognormvariate(0.0, 0.3)
+        counter.count_outcome(Outcome(version, has_failed, first))
         if rng.random() < 0.5:
             counter.count_score(version, min(1.0, rng.betavariate(9, 1) * quality))
 
 
-def count_new(rng, source="a/1", old=2_000, new=200, **worse):
+def count_candidate(rng, source="a/1", old=2_000, new=200, **worse):
     counter = OutcomeCounter(source)
-    counter.watch(NAME, TICKET, NEW, OLD)
-    run(counter, OLD, old, rng)
-    run(counter, NEW, new, rng, **worse)
+    counter.start_counting(NAME, TICKET, NEW, OLD)
+    count_requests(counter, OLD, old, rng)
+    count_requests(counter, NEW, new, rng, **worse)
     return counter
 
 
-def watch_reports(*reports):
-    watch = RolloutWatch(RolloutEvidence(TICKET))
+def make_monitor(*reports):
+    monitor = RolloutMonitor(RolloutEvidence(TICKET))
     for report in reports:
-        watch.evidence.merge(report)
-    return watch
+        monitor.evidence.merge(report)
+    return monitor
 
 
-def judge(counter, now=1_000.0):
-    watch = watch_reports(*counter.list_reports())
+def evaluate(counter, now=1_000.0):
+    monitor = make_monitor(*counter.list_reports())
     progress = RolloutProgress(TICKET)
-    judge_rollout(ROLLOUT, progress, watch, Seconds(0.0))
-    return judge_rollout(ROLLOUT, progress, watch, Seconds(now))
+    evaluate_rollout(ROLLOUT, progress, monitor, Seconds(0.0))
+    return evaluate_rollout(ROLLOUT, progress, monitor, Seconds(now))
 
 
 @pytest.mark.parametrize(
@@ -71,34 +71,36 @@
     ],
 )
 def test_worse_version_is_stopped(worse, metric):
-    verdict = judge(count_new(Random(1), new=60, **worse))
+    verdict = evaluate(count_candidate(Random(1), new=60, **worse))
     assert isinstance(verdict, Stop)
     assert metric in verdict.reason
 
 
 def test_equal_version_advances():
-    assert judge(count_new(Random(2), new=400)) == Advance(1)
+    assert evaluate(count_candidate(Random(2), new=400)) == Advance(1)
 
 
 def test_too_little_evidence_holds():
-    assert isinstance(judge(count_new(Random(3), new=5)), Hold)
+    assert isinstance(evaluate(count_candidate(Random(3), new=5)), Hold)
 
 
-def test_version_that_turns_bad_is_stopped():
+def test_candidate_that_degrades_later_is_stopped():
     rng = Random(4)
-    counter = count_new(rng, new=300)
-    watch = watch_reports(*counter.list_reports())
+    counter = count_candidate(rng, new=300)
+    monitor = make_monitor(*counter.list_reports())
     progress = RolloutProgress(TICKET)
-    assert not isinstance(judge_rollout(ROLLOUT, progress, watch, Seconds(0.0)), Stop)
-    run(counter, NEW, 40, rng, failed=0.5)
-    watch.evidence.merge(counter.list_reports()[0])
-    assert isinstance(judge_rollout(ROLLOUT, progress, watch, Seconds(1.0)), Stop)
+    assert not isinstance(
+        evaluate_rollout(ROLLOUT, progress, monitor, Seconds(0.0)), Stop
+    )
+    count_requests(counter, NEW, 40, rng, failed=0.5)
+    monitor.evidence.merge(counter.list_reports()[0])
+    assert isinstance(evaluate_rollout(ROLLOUT, progress, monitor, Seconds(1.0)), Stop)
 
 
-def test_reports_repeated_late_or_of_another_ticket_count_once():
-    counter = count_new(Random(5), new=10)
+def test_repeated_late_and_foreign_reports_are_not_counted():
+    counter = count_candidate(Random(5), new=10)
     first = counter.list_reports()[0]
-    run(counter, NEW, 10, Random(6))
+    count_requests(counter, NEW, 10, Random(6))
     second = counter.list_reports()[0]
     evidence = RolloutEvidence(TICKET)
     assert evidence.merge(second)
@@ -109,17 +111,17 @@
 
 
 def test_impossible_counts_are_dropped():
-    report = count_new(Random(7)).list_reports()[0]
+    report = count_candidate(Random(7)).list_reports()[0]
     report.candidate.failed = 10**6
     assert not RolloutEvidence(TICKET).merge(report)
 
 
-def test_new_leader_judges_from_the_entries_counts():
+def test_new_leader_evaluates_the_cumulative_counts_of_the_entries():
     rng = Random(8)
-    counters = [count_new(rng, f"{n}/1", 300, 12, failed=0.4) for n in range(9)]
+    counters = [count_candidate(rng, f"{n}/1", 300, 12, failed=0.4) for n in range(9)]
     reports = [report for c in counters for report in c.list_reports()]
-    watch = watch_reports(*reports)
-    verdict = judge_rollout(ROLLOUT, RolloutProgress(TICKET), watch, Seconds(5.0))
+    monitor = make_monitor(*reports)
+    verdict = evaluate_rollout(ROLLOUT, RolloutProgress(TICKET), monitor, Seconds(5.0))
     assert isinstance(verdict, Stop)
 
 
@@ -152,9 +154,9 @@
         rollouts={NAME: ROLLOUT},
         progress={NAME: RolloutProgress(TICKET)},
     )
-    counter = count_new(Random(9), new=60, failed=0.5)
-    watches = {NAME: watch_reports(*counter.list_reports())}
-    changes = advance_rollouts(configuration, DirectoryTables(), watches, Seconds(1.0))
+    counter = count_candidate(Random(9), new=60, failed=0.5)
+    monitors = {NAME: make_monitor(*counter.list_reports())}
+    changes = advance_rollouts(configuration, DirectoryTables(), monitors, Seconds(1.0))
     assert changes[0].progress.state is RolloutState.STOPPED
     assert changes[0].progress.exposed == 60
 
@@ -165,9 +167,9 @@
         rollouts={NAME: ROLLOUT},
         progress={NAME: RolloutProgress(TICKET)},
     )
-    counter = count_new(Random(2), new=400)
-    watches = {NAME: watch_reports(*counter.list_reports())}
+    counter = count_candidate(Random(2), new=400)
+    monitors = {NAME: make_monitor(*counter.list_reports())}
     for now in (0.0, 1_000.0):
         assert not advance_rollouts(
-            configuration, DirectoryTables(), watches, Seconds(now)
+            configuration, DirectoryTables(), monitors, Seconds(now)
         )
--- a/tests/core/test_session.py
+++ b/tests/core/test_session.py
@@ -10,7 +10,7 @@
 VERSION = VersionId("reader-small:2024.1")
 
 
-def test_a_session_names_its_version_at_every_entry():
+def test_session_id_carries_its_version():
     session = make_session(VERSION, SECRET, Random(1))
     assert read_session(session, SECRET) == VERSION
     assert session.isascii() and session.isprintable() and " " not in session
@@ -34,14 +34,14 @@
         lambda s: "a" * 10_000,
     ],
 )
-def test_a_changed_session_is_refused(change):
+def test_modified_session_id_is_refused(change):
     session = change(make_session(VERSION, SECRET, Random(1)))
     with pytest.raises(RequestError) as caught:
         read_session(session, SECRET)
     assert caught.value.code is Code.SESSION_INVALID
 
 
-def test_a_session_of_another_fleet_is_refused():
+def test_session_id_signed_with_another_secret_is_refused():
     session = make_session(VERSION, b"other", Random(1))
     with pytest.raises(RequestError):
         read_session(session, SECRET)
--- a/tests/core/test_stream.py
+++ b/tests/core/test_stream.py
@@ -21,7 +21,7 @@
     return "".join(chunk.content for chunk in chunks)
 
 
-def test_any_order_with_repeats_gives_the_whole_answer():
+def test_reordered_and_repeated_chunks_give_the_complete_answer():
     rng = Random(5)
     for _ in range(200):
         chunks = make_chunks(20)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("missing", range(7))
-def test_an_answer_that_lacks_a_chunk_is_never_whole(missing):
+def test_an_answer_that_lacks_a_chunk_is_never_complete(missing):
     chunks = make_chunks(5)
     assembler = StreamAssembler(REQUEST)
     for chunk in chunks[:missing] + chunks[missing + 1 :]:
@@ -52,7 +52,7 @@
     assert not assembler.complete
 
 
-def test_a_stream_cut_exactly_before_its_end_marker_is_not_whole():
+def test_stream_closed_before_its_end_marker_is_incomplete():
     assembler = StreamAssembler(REQUEST)
     for chunk in make_chunks(5):
         assembler.accept(chunk)
@@ -61,7 +61,7 @@
     assert not assembler.complete
 
 
-def test_usage_that_counts_other_tokens_is_an_error():
+def test_usage_that_disagrees_with_the_token_count_is_an_error():
     assembler = StreamAssembler(REQUEST)
     for chunk in make_chunks(5)[:-1]:
         assembler.accept(chunk)
@@ -86,7 +86,7 @@
         assembler.accept(Chunk(REQUEST, 1, "more"))
 
 
-def test_resume_drops_what_the_old_endpoint_sent_early():
+def test_resume_drops_out_of_order_chunks_of_the_previous_endpoint():
     old = make_chunks(6, "old")
     new = make_chunks(6, "new")
     assembler = StreamAssembler(REQUEST)
@@ -101,14 +101,16 @@
     assert read_text(got) == "old0 old1 new2 new3 new4 new5 "
 
 
-def test_what_a_stream_holds_is_bounded():
-    assembler = StreamAssembler(REQUEST, StreamLimits(max_held=4, max_repeats=3))
+def test_chunk_too_far_ahead_is_an_error():
+    assembler = StreamAssembler(
+        REQUEST, StreamLimits(max_reorder_distance=4, max_repeats=3)
+    )
     assert assembler.accept(Chunk(REQUEST, 4, "early")) == ()
     with pytest.raises(EndpointError):
         assembler.accept(Chunk(REQUEST, 5, "too early"))
 
 
-def test_a_stream_of_repeats_alone_is_broken():
+def test_too_many_repeated_chunks_break_the_stream():
     assembler = StreamAssembler(REQUEST, StreamLimits(max_repeats=3))
     chunk = Chunk(REQUEST, 0, "a")
     assembler.accept(chunk)
@@ -118,7 +120,7 @@
         assembler.accept(chunk)
 
 
-def test_an_answer_without_end_is_cut_off():
+def test_answer_over_the_token_limit_is_an_error():
     assembler = StreamAssembler(REQUEST, StreamLimits(max_tokens=3))
     for index in range(3):
         assembler.accept(Chunk(REQUEST, index, "x"))
@@ -127,7 +129,7 @@
     assert caught.value.code is Code.ANSWER_TOO_LARGE
 
 
-def test_an_end_marker_that_came_too_early_leaves_the_answer_open_to_resume():
+def test_early_end_marker_leaves_the_answer_resumable():
     chunks = make_chunks(4)
     assembler = StreamAssembler(REQUEST)
     got = [*assembler.accept(chunks[0]), *assembler.accept(chunks[1])]
@@ -140,7 +142,7 @@
     assert got == chunks
 
 
-def test_a_whole_answer_is_not_resumed():
+def test_complete_answer_cannot_be_resumed():
     assembler = StreamAssembler(REQUEST)
     for chunk in make_chunks(2):
         assembler.accept(chunk)
