--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -67,15 +67,15 @@
         self.sequence += 1
         self.now = Seconds(self.now + HOLD_SECONDS)
         for number in range(self.size.endpoints):
-            self.feed.take_announcement(make_word(number, self.sequence), self.now)
+            self.feed.record_announcement(make_word(number, self.sequence), self.now)
         for number in range(self.size.entries):
-            self.feed.take_report(make_report(number, self.sequence), self.now)
+            self.feed.record_report(make_report(number, self.sequence), self.now)
 
     def call(self, method: Method, body: bytes, timeout_seconds: float) -> bytes:
         """Answer a poll, and count its bytes and processor time."""
         started = process_time()
         request = POLL_REQUEST.decode(body)
-        news = self.feed.list_news(request.boot, request.cursor)
+        news = self.feed.list_changes(request.boot, request.cursor)
         reply = ENCODER.encode(
             PollReply(
                 age_seconds=0.1,
--- a/packages/daemon/src/bergamotwood_daemon/command.py
+++ b/packages/daemon/src/bergamotwood_daemon/command.py
@@ -2,20 +2,20 @@
 
 from pathlib import Path
 from signal import SIGINT, SIGTERM
-from sys import exit as leave
+from sys import exit as exit_process
 
 from click import Path as PathType
 from click import argument, echo, group, version_option
-from gevent.hub import signal as watch_signal
+from gevent.hub import signal as handle_signal
 
 from bergamotwood_core.errors import SettingsError
 from bergamotwood_daemon.daemon import Daemon
 from bergamotwood_daemon.log import close_log, open_log
 from bergamotwood_daemon.settings import Settings, load_settings
 
-EXIT_SETTINGS = 2
-EXIT_CUT = 3
-SETTINGS_FILE = PathType(path_type=Path)
+EXIT_INVALID_SETTINGS = 2
+EXIT_FORCED = 3
+SETTINGS_PATH_TYPE = PathType(path_type=Path)
 
 
 @group()
@@ -25,7 +25,7 @@
 
 
 @main.command()
-@argument("file", type=SETTINGS_FILE)
+@argument("file", type=SETTINGS_PATH_TYPE)
 def check(file: Path) -> None:
     """Check a settings file and say every fault."""
     _load(file)
@@ -33,14 +33,14 @@
 
 
 @main.command()
-@argument("file", type=SETTINGS_FILE)
+@argument("file", type=SETTINGS_PATH_TYPE)
 def run(file: Path) -> None:
     """Run with a settings file until SIGTERM."""
     settings = _load(file)
     open_log()
     daemon = Daemon(settings)
-    watch_signal(SIGTERM, _stop, daemon)
-    watch_signal(SIGINT, _stop, daemon)
+    handle_signal(SIGTERM, _handle_stop_signal, daemon)
+    handle_signal(SIGINT, _handle_stop_signal, daemon)
     daemon.start()
     daemon.wait()
     close_log()
@@ -53,11 +53,11 @@
         echo(error.detail, err=True)
         for fault in error.faults:
             echo(f"{file}: {fault}", err=True)
-        leave(EXIT_SETTINGS)
+        exit_process(EXIT_INVALID_SETTINGS)
 
 
-def _stop(daemon: Daemon) -> None:
+def _handle_stop_signal(daemon: Daemon) -> None:
     """Drain at the first signal; cut at the second."""
     if daemon.entry.draining:
-        leave(EXIT_CUT)
+        exit_process(EXIT_FORCED)
     daemon.drain()
--- a/packages/daemon/src/bergamotwood_daemon/connection.py
+++ b/packages/daemon/src/bergamotwood_daemon/connection.py
@@ -2,10 +2,10 @@
 
 from gevent.pywsgi import WSGIHandler
 
-CONNECTION_SECONDS = 30.0
+SOCKET_TIMEOUT_SECONDS = 30.0
 
 
-class CallerHandler(WSGIHandler):
+class CallerConnectionHandler(WSGIHandler):
     """Serves one connection, and drops it when the caller stays silent.
 
     The bound holds for the wait for a request and for a caller that takes
@@ -14,5 +14,5 @@
 
     def handle(self) -> None:
         """Serve requests until the connection ends."""
-        self.socket.settimeout(CONNECTION_SECONDS)
+        self.socket.settimeout(SOCKET_TIMEOUT_SECONDS)
         super().handle()
--- a/packages/daemon/src/bergamotwood_daemon/feed.py
+++ b/packages/daemon/src/bergamotwood_daemon/controlfeed.py
@@ -24,13 +24,13 @@
         self.machine = machine
         self.applied = LogIndex(0)
         self._changes: deque[LogChange] = deque(maxlen=MAX_KEPT_CHANGES)
-        self._base = LogIndex(0)
+        self._compacted_index = LogIndex(0)
 
     def apply(self, index: LogIndex, command: bytes) -> bytes:
         """Apply a command and keep it."""
         answer = self.machine.apply(index, command)
         if len(self._changes) == MAX_KEPT_CHANGES:
-            self._base = self._changes[0].index
+            self._compacted_index = self._changes[0].index
         self._changes.append(LogChange(index, command))
         self.applied = index
         return answer
@@ -44,10 +44,10 @@
         self.machine.restore(snapshot)
         self._changes.clear()
         self.applied = self.machine.tables.index
-        self._base = self.applied
+        self._compacted_index = self.applied
 
     def list_changes(self, after: LogIndex) -> tuple[LogChange, ...] | None:
         """Return the commands after an index, or None where some are gone."""
-        if after < self._base:
+        if after < self._compacted_index:
             return None
         return tuple(change for change in self._changes if change.index > after)
--- a/packages/daemon/src/bergamotwood_daemon/replicas.py
+++ b/packages/daemon/src/bergamotwood_daemon/controlreplica.py
@@ -13,8 +13,8 @@
 from bergamotwood_core.ledger import LedgerMachine
 from bergamotwood_core.rollout import RolloutWatch, merge_reports
 from bergamotwood_core.states import Run
+from bergamotwood_daemon.controlfeed import ControlFeed
 from bergamotwood_daemon.directoryfeed import DirectoryFeed
-from bergamotwood_daemon.feed import ControlFeed
 from bergamotwood_daemon.group import LogGroup
 from bergamotwood_daemon.peer import PeerChannel
 from bergamotwood_daemon.relay import Relay
@@ -43,12 +43,12 @@
 MAX_HOLD_SECONDS = 1.0
 
 
-class Replicas:
+class ControlReplica:
     """The log groups of a control instance.
 
     Parameters
     ----------
-    control, ledger : LogGroup
+    control_group, ledger_group : LogGroup
         The two groups.
     feed : ControlFeed
         State machine of the control group.
@@ -66,8 +66,8 @@
 
     def __init__(
         self,
-        control: LogGroup,
-        ledger: LogGroup,
+        control_group: LogGroup,
+        ledger_group: LogGroup,
         feed: ControlFeed,
         ledger_machine: LedgerMachine,
         directory: DirectoryFeed,
@@ -75,8 +75,8 @@
         clock: Callable[[], Seconds],
         rng: Random,
     ) -> None:
-        self.control = control
-        self.ledger = ledger
+        self.control_group = control_group
+        self.ledger_group = ledger_group
         self.directory = directory
         self.rollout_watches: dict[RolloutId, RolloutWatch] = {}
         self._feed = feed
@@ -85,9 +85,9 @@
             Relay(channel, lambda: feed.applied, rng) for channel in peers.values()
         ]
         self._clock = clock
-        self._groups = {CONTROL_GROUP: control, LEDGER_GROUP: ledger}
-        self._news = Event()
-        control.on_apply(self._wake)
+        self._groups = {CONTROL_GROUP: control_group, LEDGER_GROUP: ledger_group}
+        self._changed = Event()
+        control_group.add_apply_callback(self._notify_pollers)
 
     @property
     def is_voting(self) -> bool:
@@ -126,7 +126,9 @@
         request = PROPOSE_REQUEST.decode(body)
         group = self._groups[request.group]
         return ENCODER.encode(
-            _guard(lambda: group.propose(request.command, request.timeout_seconds))
+            _run_and_reply(
+                lambda: group.propose(request.command, request.timeout_seconds)
+            )
         )
 
     def handle_query(self, body: bytes) -> bytes:
@@ -136,22 +138,22 @@
 
         def read() -> bytes:
             group.read_barrier(request.timeout_seconds)
-            return json.encode(self._answer(request.query))
+            return json.encode(self._run_query(request.query))
 
-        return ENCODER.encode(_guard(read))
+        return ENCODER.encode(_run_and_reply(read))
 
     def handle_poll(self, body: bytes) -> bytes:
         """Take reports; answer with news, at once or after a short wait."""
         request = POLL_REQUEST.decode(body)
-        self._take_reports(request)
-        self._wait_for_news(request)
+        self._record_reports(request)
+        self._wait_for_changes(request)
         return ENCODER.encode(self._build_reply(request))
 
     def expire(self, now: Seconds) -> None:
         """Run the tick of the directory."""
         self.directory.expire(now)
 
-    def _answer(self, query: Query) -> object:
+    def _run_query(self, query: Query) -> object:
         match query:
             case FindBill(request):
                 return self._ledger_machine.find_bill(request)
@@ -166,40 +168,40 @@
             case ListTickets(limit):
                 return list(self.control_machine.records.values())[-limit:]
 
-    def _take_reports(self, request: PollRequest) -> None:
+    def _record_reports(self, request: PollRequest) -> None:
         now = self._clock()
-        membership = self.directory.membership_cursor
+        previous_membership_cursor = self.directory.membership_cursor
         reports = request.reports
         if request.report is not None:
             reports = (*reports, request.report)
-        news = [
+        updates = [
             *(
                 a
                 for a in request.announcements
-                if self.directory.take_announcement(a, now)
+                if self.directory.record_announcement(a, now)
             ),
-            *(r for r in reports if self.directory.take_report(r, now)),
-            *(e for e in request.ratings if self.directory.take_ratings(e)),
+            *(r for r in reports if self.directory.record_report(r, now)),
+            *(e for e in request.ratings if self.directory.record_ratings(e)),
             *request.outcomes,
         ]
         merge_reports(self.rollout_watches, request.outcomes)
-        if self.directory.membership_cursor != membership:
-            self._wake()
+        if self.directory.membership_cursor != previous_membership_cursor:
+            self._notify_pollers()
         if request.relayed:
             return
         for relay in self._relays:
-            for item in news:
-                relay.put(item)
+            for update in updates:
+                relay.put(update)
 
-    def _wait_for_news(self, request: PollRequest) -> None:
+    def _wait_for_changes(self, request: PollRequest) -> None:
         deadline = self._clock() + min(request.hold_seconds, MAX_HOLD_SECONDS)
-        while not self._has_news(request):
-            left = deadline - self._clock()
-            if left <= 0.0:
+        while not self._has_changes(request):
+            remaining = deadline - self._clock()
+            if remaining <= 0.0:
                 return
-            self._news.wait(left)
+            self._changed.wait(remaining)
 
-    def _has_news(self, request: PollRequest) -> bool:
+    def _has_changes(self, request: PollRequest) -> bool:
         if self._feed.applied > request.applied:
             return True
         if request.boot != self.directory.boot:
@@ -207,31 +209,31 @@
         return self.directory.membership_cursor > request.cursor
 
     def _build_reply(self, request: PollRequest) -> PollReply:
-        news = self.directory.list_news(request.boot, request.cursor)
+        directory_changes = self.directory.list_changes(request.boot, request.cursor)
         changes = self._feed.list_changes(request.applied)
         snapshot = self._feed.snapshot() if changes is None else None
         return PollReply(
-            age_seconds=self.control.confirmed_age(self._clock()),
+            age_seconds=self.control_group.measure_age(self._clock()),
             applied=self._feed.applied,
             snapshot=snapshot,
             changes=changes or (),
             boot=self.directory.boot,
-            cursor=news.cursor,
-            announcements=news.announcements,
-            loads=news.loads,
-            reports=news.reports,
-            ratings=news.ratings,
-            leader=self.control.leader,
+            cursor=directory_changes.cursor,
+            announcements=directory_changes.announcements,
+            loads=directory_changes.loads,
+            reports=directory_changes.reports,
+            ratings=directory_changes.ratings,
+            leader=self.control_group.leader,
         )
 
-    def _wake(self) -> None:
-        self._news.set()
-        self._news.clear()
+    def _notify_pollers(self) -> None:
+        self._changed.set()
+        self._changed.clear()
 
 
-def _guard(act: Callable[[], bytes]) -> Committed | NotLeader | Unknown:
+def _run_and_reply(action: Callable[[], bytes]) -> Committed | NotLeader | Unknown:
     try:
-        return Committed(act())
+        return Committed(action())
     except NotLeaderError as error:
         return NotLeader(error.leader)
     except ReplicationError as error:
--- a/packages/daemon/src/bergamotwood_daemon/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/daemon.py
@@ -21,27 +21,31 @@
 from bergamotwood_daemon.chat import Chat
 from bergamotwood_daemon.claims import Claims
 from bergamotwood_daemon.clock import read_clock
-from bergamotwood_daemon.connection import CallerHandler
+from bergamotwood_daemon.connection import CallerConnectionHandler
+from bergamotwood_daemon.controlfeed import ControlFeed
+from bergamotwood_daemon.controlreplica import (
+    CONTROL_GROUP,
+    LEDGER_GROUP,
+    ControlReplica,
+)
 from bergamotwood_daemon.directoryfeed import DirectoryFeed
+from bergamotwood_daemon.discovery import Discovery
 from bergamotwood_daemon.encryption import PeerEncryption, ServerEncryption
 from bergamotwood_daemon.entry import Entry
-from bergamotwood_daemon.feed import ControlFeed
 from bergamotwood_daemon.group import LogGroup
 from bergamotwood_daemon.groupsettings import GroupSettings
 from bergamotwood_daemon.log import log_event
 from bergamotwood_daemon.metrics import Metrics
 from bergamotwood_daemon.operations import Operations
-from bergamotwood_daemon.ordering import Ordering
+from bergamotwood_daemon.orderdispatcher import OrderDispatcher
 from bergamotwood_daemon.peer import (
     GroupTransport,
     PeerChannel,
     PeerServer,
     ReplicationSender,
 )
-from bergamotwood_daemon.presence import Presence
 from bergamotwood_daemon.proposer import Proposer
 from bergamotwood_daemon.ratings import Ratings
-from bergamotwood_daemon.replicas import CONTROL_GROUP, LEDGER_GROUP, Replicas
 from bergamotwood_daemon.routes import Application, Route, make_route
 from bergamotwood_daemon.services import Services
 from bergamotwood_daemon.settings import Settings
@@ -51,9 +55,9 @@
 from bergamotwood_daemon.web import Response, WebRequest, answer_json
 
 NANOSECONDS_PER_MICROSECOND = 1_000
-STOP_POLL_SECONDS = 0.1
-PEER_GRACE_SECONDS = 1.0
-STOP_SECONDS = 1.0
+DRAIN_POLL_SECONDS = 0.1
+PEER_SERVER_GRACE_SECONDS = 1.0
+SERVER_STOP_TIMEOUT_SECONDS = 1.0
 
 
 class Daemon:
@@ -69,36 +73,44 @@
         self.settings = settings
         self.rng = Random(SystemRandom().getrandbits(64))
         self.incarnation = time_ns() // NANOSECONDS_PER_MICROSECOND
-        self._stopping = Event()
+        self._stopped = Event()
         self._peer_tls = (
             PeerEncryption(settings.peer_tls) if settings.peer_tls else None
         )
         self._tls = ServerEncryption(settings.tls) if settings.tls else None
         self._tracing = make_tracer(settings.instance, settings.trace_file)
-        self.replicas = self._make_replicas() if settings.is_control else None
+        self.control_replica = (
+            self._make_control_replica() if settings.is_control else None
+        )
         self.entry = self._make_entry()
-        self.metrics = Metrics(self.entry, self.replicas)
+        self.metrics = Metrics(self.entry, self.control_replica)
         self.admittance = Admittance(self.entry)
         self._peer_server = PeerServer(
-            self.replicas or _NoReplicas(), settings.instance_key, self._peer_tls
+            self.control_replica or _NoControlRole(),
+            settings.instance_key,
+            self._peer_tls,
         )
         self._application = Application(
-            self._make_routes(), settings.limits, self.presence.list_others
+            self._make_routes(), settings.limits, self.discovery.list_other_entries
         )
         self._server = self._make_server()
         self._ticker = Ticker(
-            self.entry, self.admittance, self.replicas, self._make_ordering(), self._tls
+            self.entry,
+            self.admittance,
+            self.control_replica,
+            self._make_order_dispatcher(),
+            self._tls,
         )
 
     def start(self) -> None:
         """Listen and begin to follow the control log."""
         settings = self.settings
         peer = settings.peer_listen
-        if self.replicas is not None:
+        if self.control_replica is not None:
             self._peer_server.start(Address(peer.host, peer.port))
-            self.replicas.start()
+            self.control_replica.start()
         self.entry.watch.start()
-        self.entry.claims.abandon(self._name, self.incarnation)
+        self.entry.claims.abandon(self._instance_id, self.incarnation)
         self._ticker.start()
         self._server.start()
         log_event(
@@ -113,31 +125,31 @@
         if not self.entry.draining:
             self.entry.draining = True
             log_event("daemon", "Draining.")
-            spawn(self._finish)
+            spawn(self._shut_down)
 
     def wait(self) -> None:
         """Wait until a graceful shutdown has ended."""
-        self._stopping.wait()
+        self._stopped.wait()
 
-    def _finish(self) -> None:
+    def _shut_down(self) -> None:
         """Leave the addresses, serve on, then finish what is in flight."""
         self.entry.watch.report_now()
         sleep(self.settings.timeouts.drain)
         self._application.draining = True
         self._server.close()
-        while self._has_work():
-            sleep(STOP_POLL_SECONDS)
-        self._server.stop(timeout=STOP_SECONDS)
+        while self._has_unfinished_work():
+            sleep(DRAIN_POLL_SECONDS)
+        self._server.stop(timeout=SERVER_STOP_TIMEOUT_SECONDS)
         self._ticker.stop()
         self.entry.watch.stop()
-        if self.replicas is not None:
-            self.replicas.stop()
-            self._peer_server.stop(PEER_GRACE_SECONDS)
+        if self.control_replica is not None:
+            self.control_replica.stop()
+            self._peer_server.stop(PEER_SERVER_GRACE_SECONDS)
         self._tracing.shutdown()
         log_event("daemon", "Stopped.")
-        self._stopping.set()
+        self._stopped.set()
 
-    def _has_work(self) -> bool:
+    def _has_unfinished_work(self) -> bool:
         """Whether a request runs, or its end is not committed yet."""
         claims = self.entry.claims
         return bool(self._application.active or claims.running or claims.settling)
@@ -145,7 +157,7 @@
     def _make_channels(self) -> dict[InstanceId, PeerChannel]:
         """Make channels of their own for one purpose, this instance's first."""
         addresses = sorted(
-            self.settings.replicas, key=lambda replica: replica.id != self._name
+            self.settings.replicas, key=lambda replica: replica.id != self._instance_id
         )
         return {
             InstanceId(replica.id): PeerChannel(
@@ -157,25 +169,25 @@
         }
 
     @property
-    def _name(self) -> InstanceId:
+    def _instance_id(self) -> InstanceId:
         return InstanceId(self.settings.instance)
 
-    def _make_replicas(self) -> Replicas:
+    def _make_control_replica(self) -> ControlReplica:
         senders = {
             name: ReplicationSender(channel)
             for name, channel in self._make_channels().items()
-            if name != self._name
+            if name != self._instance_id
         }
         feed = ControlFeed(ControlMachine())
         ledger_machine = LedgerMachine()
         peers = self._make_channels()
-        peers.pop(self._name)
-        return Replicas(
-            control=self._make_group(CONTROL_GROUP, feed, senders),
-            ledger=self._make_group(LEDGER_GROUP, ledger_machine, senders),
+        peers.pop(self._instance_id)
+        return ControlReplica(
+            control_group=self._make_group(CONTROL_GROUP, feed, senders),
+            ledger_group=self._make_group(LEDGER_GROUP, ledger_machine, senders),
             feed=feed,
             ledger_machine=ledger_machine,
-            directory=DirectoryFeed(f"{self._name}-{self.incarnation}"),
+            directory=DirectoryFeed(f"{self._instance_id}-{self.incarnation}"),
             peers=peers,
             clock=read_clock,
             rng=self.rng,
@@ -189,7 +201,7 @@
     ) -> LogGroup:
         voters = tuple(InstanceId(replica.id) for replica in self.settings.replicas)
         settings = GroupSettings(
-            instance=self._name,
+            instance=self._instance_id,
             initial_voters=voters,
             folder=self.settings.data_folder,
         )
@@ -202,14 +214,14 @@
             Random(self.rng.getrandbits(64)),
         )
 
-    def _make_ordering(self) -> Ordering | None:
-        if self.replicas is None:
+    def _make_order_dispatcher(self) -> OrderDispatcher | None:
+        if self.control_replica is None:
             return None
         store = self.settings.weight_store
-        return Ordering(
-            self.replicas.control,
-            self.replicas.control_machine,
-            self.replicas.directory.tables,
+        return OrderDispatcher(
+            self.control_replica.control_group,
+            self.control_replica.control_machine,
+            self.control_replica.directory.tables,
             LoadPace(store.loads_per_second, store.burst),
             self.settings.order_key,
             read_clock,
@@ -228,7 +240,7 @@
             machine,
             tables,
             self._make_channels(),
-            lambda: self.presence.describe(),
+            lambda: self.discovery.make_report(),
             policy,
             outcomes,
             read_clock,
@@ -249,7 +261,7 @@
             tracer=self._tracing.get_tracer("bergamotwood"),
             incarnation=self.incarnation,
         )
-        self.presence = Presence(entry)
+        self.discovery = Discovery(entry)
         return entry
 
     def _make_proposer(self, group: str) -> Proposer:
@@ -263,7 +275,7 @@
             self._application,
             log=None,
             error_log=None,
-            handler_class=CallerHandler,
+            handler_class=CallerConnectionHandler,
             **tls,
         )
 
@@ -278,17 +290,19 @@
             clock=read_clock,
             drain=self.drain,
             is_draining=lambda: entry.draining,
-            is_voting=lambda: self.replicas.is_voting if self.replicas else None,
+            is_voting=lambda: (
+                self.control_replica.is_voting if self.control_replica else None
+            ),
         )
         routes = (
             make_route("GET", "/healthz", _answer_health),
             make_route("GET", "/readyz", self._answer_readiness),
             make_route("GET", "/metrics", self.metrics.answer),
-            make_route("GET", "/v1/addresses", self.presence.list_addresses),
+            make_route("GET", "/v1/addresses", self.discovery.list_addresses),
             make_route(
                 "POST",
                 "/v1/endpoints",
-                self.presence.take_announcement,
+                self.discovery.record_announcement,
                 self._require_endpoint,
             ),
             *self._make_operator_routes(operations),
@@ -335,7 +349,7 @@
         return answer_json({"ready": ready}, 200 if ready else 503)
 
 
-class _NoReplicas:
+class _NoControlRole:
     """What an instance without the control role answers to its peers."""
 
     def handle_replicate(self, body: bytes) -> bytes:
--- a/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
+++ b/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
@@ -17,11 +17,11 @@
 
 MAX_KEPT_EVIDENCE = 256
 # Time between two reports of one entry that watchers get, unless its state changed.
-ENTRY_NEWS_SECONDS = 1.5
+ENTRY_REPORT_INTERVAL_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
-class DirectoryNews:
+class DirectoryChanges:
     """Changes after a cursor, and the cursor that they lead to."""
 
     cursor: int
@@ -51,73 +51,75 @@
         self.tables = DirectoryTables()
         self.cursor = 0
         self.membership_cursor = 0
-        self._endpoints: dict[EndpointId, int] = {}
-        self._memberships: dict[EndpointId, int] = {}
-        self._entries: dict[InstanceId, int] = {}
-        self._entries_shown_at: dict[InstanceId, Seconds] = {}
-        self._filter = SequenceFilter()
+        self._endpoint_cursors: dict[EndpointId, int] = {}
+        self._membership_cursors: dict[EndpointId, int] = {}
+        self._entry_cursors: dict[InstanceId, int] = {}
+        self._entries_published_at: dict[InstanceId, Seconds] = {}
+        self._evidence_filter = SequenceFilter()
         self._ratings: deque[_NumberedEvidence] = deque(maxlen=MAX_KEPT_EVIDENCE)
 
-    def take_announcement(self, announcement: Announcement, now: Seconds) -> bool:
+    def record_announcement(self, announcement: Announcement, now: Seconds) -> bool:
         """Merge an announcement; return whether it was news."""
         known = self.tables.endpoints.get(announcement.id)
         before = known.announcement if known is not None else None
         if not merge_announcement(self.tables, announcement, now):
             return False
         self.cursor += 1
-        self._endpoints[announcement.id] = self.cursor
+        self._endpoint_cursors[announcement.id] = self.cursor
         if before is None or _differs_in_membership(before, announcement):
             self.membership_cursor = self.cursor
-            self._memberships[announcement.id] = self.cursor
+            self._membership_cursors[announcement.id] = self.cursor
         return True
 
-    def take_report(self, report: EntryReport, now: Seconds) -> bool:
+    def record_report(self, report: EntryReport, now: Seconds) -> bool:
         """Merge an entry's report; return whether it was news."""
         known = self.tables.entries.get(report.id)
         before = known.report if known is not None else None
         if not merge_report(self.tables, report, now):
             return False
         changed = before is None or before.state is not report.state
-        shown_at = self._entries_shown_at.get(report.id, Seconds(float("-inf")))
-        if not changed and now - shown_at < ENTRY_NEWS_SECONDS:
+        published_at = self._entries_published_at.get(report.id, Seconds(float("-inf")))
+        if not changed and now - published_at < ENTRY_REPORT_INTERVAL_SECONDS:
             return True
-        self._entries_shown_at[report.id] = now
+        self._entries_published_at[report.id] = now
         self.cursor += 1
-        self._entries[report.id] = self.cursor
+        self._entry_cursors[report.id] = self.cursor
         if changed:
             self.membership_cursor = self.cursor
         return True
 
-    def take_ratings(self, evidence: Evidence) -> bool:
+    def record_ratings(self, evidence: Evidence) -> bool:
         """Keep ratings for the watchers; return whether they were news."""
-        if not self._filter.accept(evidence.source, evidence.sequence):
+        if not self._evidence_filter.accept(evidence.source, evidence.sequence):
             return False
         self.cursor += 1
         self._ratings.append(_NumberedEvidence(self.cursor, evidence))
         return True
 
-    def list_news(self, boot: str, cursor: int) -> DirectoryNews:
+    def list_changes(self, boot: str, cursor: int) -> DirectoryChanges:
         """Return what a watcher with this cursor has not seen."""
         if boot != self.boot:
             cursor = 0
         endpoints = self.tables.endpoints
         entries = self.tables.entries
-        return DirectoryNews(
+        return DirectoryChanges(
             self.cursor,
             tuple(
                 endpoint.announcement
                 for id, endpoint in endpoints.items()
-                if self._memberships.get(id, 0) > cursor
+                if self._membership_cursors.get(id, 0) > cursor
             ),
             tuple(
                 _make_load_report(endpoint.announcement)
                 for id, endpoint in endpoints.items()
-                if self._endpoints.get(id, 0) > cursor >= self._memberships.get(id, 0)
+                if self._endpoint_cursors.get(id, 0)
+                > cursor
+                >= self._membership_cursors.get(id, 0)
             ),
             tuple(
                 entry.report
                 for id, entry in entries.items()
-                if self._entries.get(id, 0) > cursor
+                if self._entry_cursors.get(id, 0) > cursor
             ),
             tuple(kept.evidence for kept in self._ratings if kept.cursor > cursor),
         )
@@ -126,12 +128,12 @@
         """Drop whoever has not been heard for too long."""
         expire_endpoints(self.tables, now)
         expire_entries(self.tables, now)
-        for id in self._endpoints.keys() - self.tables.endpoints.keys():
-            del self._endpoints[id]
-            del self._memberships[id]
-        for id in self._entries.keys() - self.tables.entries.keys():
-            del self._entries[id]
-            del self._entries_shown_at[id]
+        for id in self._endpoint_cursors.keys() - self.tables.endpoints.keys():
+            del self._endpoint_cursors[id]
+            del self._membership_cursors[id]
+        for id in self._entry_cursors.keys() - self.tables.entries.keys():
+            del self._entry_cursors[id]
+            del self._entries_published_at[id]
 
 
 def _make_load_report(announcement: Announcement) -> LoadReport:
--- a/packages/daemon/src/bergamotwood_daemon/presence.py
+++ b/packages/daemon/src/bergamotwood_daemon/discovery.py
@@ -15,7 +15,7 @@
 
 MAX_ADDRESSES = 16
 # Index distance from which an entry's configuration is not fresh.
-FRESH_ENTRIES = 64
+MAX_INDEX_LAG = 64
 
 
 class AnnouncementReply(Struct):
@@ -39,7 +39,7 @@
     ttl_seconds: int
 
 
-class Presence:
+class Discovery:
     """Membership as one entry serves it.
 
     Parameters
@@ -52,26 +52,26 @@
         self._entry = entry
         self._sequence = 0
 
-    def take_announcement(self, request: WebRequest) -> Response:
+    def record_announcement(self, request: WebRequest) -> Response:
         """Take an endpoint's word on itself."""
         announcement = decode_announcement(request.read_body())
         directory = self._entry.tables.directory
-        membership = directory.membership
-        news = merge_announcement(directory, announcement, self._entry.clock())
-        if news:
-            urgent = directory.membership != membership
-            self._entry.watch.offer(announcement, urgent)
-        return answer_json(AnnouncementReply(news))
+        previous_membership = directory.membership
+        is_new = merge_announcement(directory, announcement, self._entry.clock())
+        if is_new:
+            urgent = directory.membership != previous_membership
+            self._entry.watch.queue_announcement(announcement, urgent)
+        return answer_json(AnnouncementReply(is_new))
 
     def list_addresses(self, request: WebRequest) -> Response:
         """Tell a caller which entries to use, and for how long."""
         near = request.read_parameter("near")
         directory = self._entry.tables.directory
-        minimum = LogIndex(max(0, self._entry.watch.applied - FRESH_ENTRIES))
+        min_index = LogIndex(max(0, self._entry.watch.applied - MAX_INDEX_LAG))
         reports = choose_addresses(
             directory,
             DataCentre(near or self._entry.settings.data_centre),
-            minimum,
+            min_index,
             self._entry.clock(),
             self._entry.rng,
             MAX_ADDRESSES,
@@ -85,7 +85,7 @@
         headers = (("Cache-Control", f"max-age={ttl}"),)
         return Response(200, response.content_type, response.body, headers)
 
-    def list_others(self) -> tuple[str, ...]:
+    def list_other_entries(self) -> tuple[str, ...]:
         """List the addresses of the other entries that serve."""
         return tuple(
             str(entry.report.address)
@@ -94,7 +94,7 @@
             and entry.report.state is EntryState.SERVING
         )
 
-    def describe(self) -> EntryReport:
+    def make_report(self) -> EntryReport:
         """Make this entry's report on itself."""
         self._sequence += 1
         settings = self._entry.settings
--- a/packages/daemon/src/bergamotwood_daemon/encryption.py
+++ b/packages/daemon/src/bergamotwood_daemon/encryption.py
@@ -10,7 +10,7 @@
 from bergamotwood_daemon.settings import Tls
 
 
-def _read_stamp(tls: Tls) -> tuple[int, ...]:
+def _read_modification_times(tls: Tls) -> tuple[int, ...]:
     paths = (tls.certificate, tls.key, tls.authority)
     return tuple(path.stat().st_mtime_ns for path in paths if path is not None)
 
@@ -33,18 +33,18 @@
         self.context = SSLContext(PROTOCOL_TLS_SERVER)
         self._tls = tls
         try:
-            self._stamp = _read_stamp(tls)
+            self._modification_times = _read_modification_times(tls)
             self._load()
         except (OSError, SSLError) as error:
             raise SettingsError(f"tls: {error}") from error
 
-    def reload(self) -> bool:
+    def reload_if_changed(self) -> bool:
         """Take up changed files; a broken pair leaves the old one in use."""
         try:
-            stamp = _read_stamp(self._tls)
-            if stamp == self._stamp:
+            modification_times = _read_modification_times(self._tls)
+            if modification_times == self._modification_times:
                 return False
-            self._stamp = stamp
+            self._modification_times = modification_times
             self._load()
         except (OSError, SSLError) as error:
             log_event("tls", "Changed files not usable.", detail=str(error))
@@ -70,14 +70,14 @@
 
     def __init__(self, tls: Tls) -> None:
         self._tls = tls
-        self._stamp = _read_stamp(tls)
+        self._modification_times = _read_modification_times(tls)
 
     def make_channel_credentials(self) -> grpc.ChannelCredentials:
         """Read the files for one new channel."""
         return grpc.ssl_channel_credentials(
-            _read(self._tls.authority),
-            _read(self._tls.key),
-            _read(self._tls.certificate),
+            _read_file(self._tls.authority),
+            _read_file(self._tls.key),
+            _read_file(self._tls.certificate),
         )
 
     def make_server_credentials(self) -> grpc.ServerCredentials:
@@ -89,18 +89,18 @@
         )
 
     def _fetch_configuration(self) -> grpc.ServerCertificateConfiguration | None:
-        stamp = _read_stamp(self._tls)
-        if stamp == self._stamp:
+        modification_times = _read_modification_times(self._tls)
+        if modification_times == self._modification_times:
             return None
-        self._stamp = stamp
+        self._modification_times = modification_times
         return self._make_configuration()
 
     def _make_configuration(self) -> grpc.ServerCertificateConfiguration:
-        pair = (_read(self._tls.key), _read(self._tls.certificate))
+        pair = (_read_file(self._tls.key), _read_file(self._tls.certificate))
         return grpc.ssl_server_certificate_configuration(
-            [pair], _read(self._tls.authority)
+            [pair], _read_file(self._tls.authority)
         )
 
 
-def _read(path: Path | None) -> bytes | None:
+def _read_file(path: Path | None) -> bytes | None:
     return path.read_bytes() if path is not None else None
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -145,7 +145,7 @@
         self.rollouts = RolloutControl(
             self._machine, self.directory, self.entries, clock
         )
-        self.group.on_apply(self._take_applied)
+        self.group.add_apply_callback(self._take_applied)
 
     def start(self) -> None:
         """Take part in the group."""
@@ -282,7 +282,7 @@
             "term": group.term,
             "applied_index": group.applied,
             "log_bytes": group.log_bytes,
-            "state_age_seconds": round(group.confirmed_age(now), 3),
+            "state_age_seconds": round(group.measure_age(now), 3),
             "members": len(group.membership.members),
             "configuration_number": self._machine.state.number,
             "endpoints": len(self.directory),
@@ -361,7 +361,7 @@
         self._wait_for_news(request)
         instance = request.status.entry.instance
         state = self._machine.state
-        age = self.group.confirmed_age(self._clock())
+        age = self.group.measure_age(self._clock())
         known = request.boot == self._boot and request.version == self._version
         return SyncReply(
             age_seconds=age,
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -31,7 +31,7 @@
 from bergamotwood_daemon.groupsettings import GroupSettings, Transport
 from bergamotwood_daemon.journal import Journal
 from bergamotwood_daemon.log import log_event
-from bergamotwood_daemon.waiters import Waiters
+from bergamotwood_daemon.pendingproposals import PendingProposals
 
 IDENTITY_BYTES = 8
 SESSION_BITS = 48
@@ -77,16 +77,16 @@
         self._clock = clock
         self._rng = rng
         self._inbox: Queue = Queue()
-        self._waiters = Waiters()
-        self._running = False
+        self._pending_proposals = PendingProposals()
+        self._is_running = False
         self._callbacks: list[Callable[[], None]] = []
-        self._progressed = Event()
+        self._progress = Event()
         self._confirmed_at = NEVER
         self._replica: Replica | None = None
         self._journal: Journal | None = None
         self._greenlets: list[Greenlet] = []
         # A thread of its own: calls to silent peers fill the hub's pool.
-        self._disk = ThreadPool(1)
+        self._disk_pool = ThreadPool(1)
 
     @property
     def leader(self) -> InstanceId | None:
@@ -124,7 +124,7 @@
         return self._journal.size_bytes if self._journal else 0
 
     @property
-    def waiting(self) -> int:
+    def queued_inputs(self) -> int:
         """Messages and proposals that wait to be taken in."""
         return self._inbox.qsize()
 
@@ -137,8 +137,8 @@
             When the data folder is damaged.
         """
         folder = self._settings.folder / self.name
-        fresh = ReplicaId(token_hex(IDENTITY_BYTES))
-        self._journal = self._run_blocking(Journal, folder, fresh)
+        new_identity = ReplicaId(token_hex(IDENTITY_BYTES))
+        self._journal = self._run_on_disk_thread(Journal, folder, new_identity)
         saved = self._journal.saved
         if saved.snapshot is not None:
             self._machine.restore(saved.snapshot.data)
@@ -150,8 +150,8 @@
             self._rng,
             self._clock(),
         )
-        self._running = True
-        self._greenlets = [spawn(self._work), spawn(self._keep_time)]
+        self._is_running = True
+        self._greenlets = [spawn(self._run), spawn(self._run_timer)]
 
     def stop(self, handover: bool = True) -> None:
         """Stop; a leader hands over first, when it can.
@@ -161,16 +161,16 @@
         handover : bool
             False to stop without a word to the others.
         """
-        if not self._running:
+        if not self._is_running:
             return
         if handover and self.is_leader and self.failure is None:
-            self._hand_over()
-        self._running = False
+            self._transfer_leadership()
+        self._is_running = False
         self._inbox.put(Stop())
         joinall(self._greenlets)
-        self._fail_waiting("stopped")
+        self._fail_pending("stopped")
         self._journal.close()
-        self._disk.kill()
+        self._disk_pool.kill()
 
     def propose(self, command: bytes, timeout: float) -> bytes:
         """Commit a command and return the machine's answer.
@@ -210,7 +210,7 @@
             When the bytes hold no message.
         """
         full = self._inbox.qsize() >= self._settings.inbox_limit
-        if full or not self._running or self.failure is not None:
+        if full or not self._is_running or self.failure is not None:
             return
         try:
             message = decode_message(body)
@@ -230,9 +230,9 @@
         ValueError
             When the change does not fit the members.
         """
-        self._call(lambda replica, now: replica.change_members(change, now))
+        self._call_replica(lambda replica, now: replica.change_members(change, now))
 
-    def confirmed_age(self, now: Seconds) -> float:
+    def measure_age(self, now: Seconds) -> float:
         """Return seconds for which the applied state may be out of date.
 
         All that was committed that long ago is applied here; `inf` when that
@@ -246,11 +246,11 @@
             return False
         return self._replica.holds_lease(now)
 
-    def fencing_token(self) -> FencingToken:
+    def build_fencing_token(self) -> FencingToken:
         """Return the token for orders given now; meaningful under the lease."""
         return FencingToken(self.term, self.applied)
 
-    def on_apply(self, callback: Callable[[], None]) -> None:
+    def add_apply_callback(self, callback: Callable[[], None]) -> None:
         """Call back after entries or a snapshot were applied; must not block."""
         self._callbacks.append(callback)
 
@@ -265,19 +265,19 @@
             When no majority confirms it in time.
         """
         asked_at = self._clock()
-        self._call(lambda replica, now: replica.start_round(now))
-        limit = asked_at + timeout
+        self._call_replica(lambda replica, now: replica.start_round(now))
+        deadline = asked_at + timeout
         while self._confirmed_at < asked_at:
             self._check_running()
             if not self.is_leader:
                 raise NotLeaderError(f"{self.name}: not the leader", self.leader)
-            left = limit - self._clock()
-            if left <= 0.0:
+            remaining = deadline - self._clock()
+            if remaining <= 0.0:
                 raise ReplicationError(f"{self.name}: no majority", run=Run.NOT_RUN)
-            self._progressed.wait(min(left, self._settings.tick_seconds))
+            self._progress.wait(min(remaining, self._settings.tick_seconds))
 
     def _check_running(self) -> None:
-        if self.failure is not None or not self._running:
+        if self.failure is not None or not self._is_running:
             raise ReplicationError(f"{self.name}: not running", run=Run.NOT_RUN)
 
     def _check_command(self, command: bytes) -> None:
@@ -293,42 +293,42 @@
                 f"{self.name}: too many commands wait", Code.OVERLOADED, Run.NOT_RUN
             )
 
-    def _hand_over(self) -> None:
-        started = self._call(lambda replica, now: replica.hand_over(now))
-        limit = self._clock() + self._settings.election_seconds
-        while started and self.is_leader and self._clock() < limit:
-            self._progressed.wait(self._settings.tick_seconds)
+    def _transfer_leadership(self) -> None:
+        started = self._call_replica(lambda replica, now: replica.hand_over(now))
+        deadline = self._clock() + self._settings.election_seconds
+        while started and self.is_leader and self._clock() < deadline:
+            self._progress.wait(self._settings.tick_seconds)
 
-    def _call(self, action: Callable[[Replica, Seconds], object]) -> object:
+    def _call_replica(self, action: Callable[[Replica, Seconds], object]) -> object:
         self._check_running()
         call = Call(action, AsyncResult())
         self._inbox.put(call)
         return call.result.get()
 
-    def _keep_time(self) -> None:
-        while self._running and self.failure is None:
+    def _run_timer(self) -> None:
+        while self._is_running and self.failure is None:
             self._inbox.put(Tick())
             sleep(self._settings.tick_seconds)
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         batch: list[Input] = []
         try:
-            while self._running:
-                batch = self._wait_for_inputs()
-                self._take_batch(batch)
+            while self._is_running:
+                batch = self._collect_batch()
+                self._process_batch(batch)
         except Exception as error:
             self.failure = error
             self._fail_inputs(batch, str(error))
-            self._fail_waiting(str(error))
+            self._fail_pending(str(error))
             raise
 
-    def _wait_for_inputs(self) -> list[Input]:
+    def _collect_batch(self) -> list[Input]:
         batch = [self._inbox.get()]
         while self._inbox.qsize() > 0:
             batch.append(self._inbox.get_nowait())
         return batch
 
-    def _take_batch(self, batch: list[Input]) -> None:
+    def _process_batch(self, batch: list[Input]) -> None:
         replica = self._replica
         now = self._clock()
         proposals = []
@@ -342,58 +342,60 @@
                     _run_call(action, result, replica, now)
         if any(isinstance(item, Tick) for item in batch):
             replica.tick(now)
-        self._append(proposals, now)
-        self._carry_out(replica.take_effects())
+        self._append_proposals(proposals, now)
+        self._apply_effects(replica.take_effects())
         replica.note_saved(self._clock())
-        self._carry_out(replica.take_effects())
+        self._apply_effects(replica.take_effects())
         self._compact()
-        self._announce_progress()
+        self._notify_progress()
 
-    def _append(self, proposals: list[Proposal], now: Seconds) -> None:
-        wanted = [proposal for proposal in proposals if not proposal.abandoned]
-        if not wanted:
+    def _append_proposals(self, proposals: list[Proposal], now: Seconds) -> None:
+        pending = [proposal for proposal in proposals if not proposal.abandoned]
+        if not pending:
             return
-        commands = [proposal.command for proposal in wanted]
+        commands = [proposal.command for proposal in pending]
         try:
             first = self._replica.propose(commands, now)
         except NotLeaderError as error:
-            for proposal in wanted:
+            for proposal in pending:
                 proposal.result.set_exception(error)
             return
-        for at, proposal in enumerate(wanted):
-            self._waiters.add(LogIndex(first + at), self._replica.term, proposal)
+        for at, proposal in enumerate(pending):
+            self._pending_proposals.add(
+                LogIndex(first + at), self._replica.term, proposal
+            )
 
-    def _carry_out(self, effects: Effects) -> None:
-        self._send(effects.eager)
+    def _apply_effects(self, effects: Effects) -> None:
+        self._send_messages(effects.eager)
         if effects.records:
-            self._save(effects.records)
-        self._send(effects.messages)
+            self._save_records(effects.records)
+        self._send_messages(effects.messages)
         for output in effects.outputs:
             match output:
                 case Snapshot():
-                    self._restore(output)
+                    self._restore_snapshot(output)
                 case Entry():
-                    self._apply(output)
+                    self._apply_entry(output)
         self._confirmed_at = max(self._confirmed_at, effects.confirmed_at)
         if effects.outputs:
             for callback in self._callbacks:
                 callback()
 
-    def _send(self, messages: list[Outgoing]) -> None:
+    def _send_messages(self, messages: list[Outgoing]) -> None:
         for outgoing in messages:
             self._transport.send(outgoing.instance, encode_message(outgoing.message))
 
-    def _apply(self, entry: Entry) -> None:
+    def _apply_entry(self, entry: Entry) -> None:
         answer = b""
         if entry.kind is EntryKind.COMMAND:
             answer = self._machine.apply(entry.index, entry.command)
         self.applied = entry.index
-        self._waiters.resolve(entry, answer)
+        self._pending_proposals.resolve(entry, answer)
 
-    def _restore(self, snapshot: Snapshot) -> None:
+    def _restore_snapshot(self, snapshot: Snapshot) -> None:
         self._machine.restore(snapshot.data)
         self.applied = snapshot.index
-        self._waiters.pass_over(snapshot.index)
+        self._pending_proposals.fail_through(snapshot.index)
 
     def _compact(self) -> None:
         journal = self._journal
@@ -408,12 +410,12 @@
             self.applied, data, self._settings.kept_entries
         )
         tail = self._replica.get_entries_after(self.applied)
-        self._insist(journal.compact, snapshot, tail)
+        self._retry_on_disk_error(journal.compact, snapshot, tail)
 
-    def _save(self, records: list[Record | Snapshot]) -> None:
-        self._insist(self._journal.save, records)
+    def _save_records(self, records: list[Record | Snapshot]) -> None:
+        self._retry_on_disk_error(self._journal.save, records)
 
-    def _insist(self, function: Callable, *arguments: object) -> None:
+    def _retry_on_disk_error(self, function: Callable, *arguments: object) -> None:
         """Write to the disk until it takes it, as if it were only slow.
 
         Meanwhile this replica says nothing, so that the others go on without it.
@@ -421,10 +423,10 @@
         failed_at: Seconds | None = None
         while True:
             try:
-                self._run_blocking(function, *arguments)
+                self._run_on_disk_thread(function, *arguments)
                 break
             except OSError as error:
-                if not self._running:
+                if not self._is_running:
                     raise
                 if failed_at is None:
                     failed_at = self._clock()
@@ -434,12 +436,12 @@
             seconds = round(self._clock() - failed_at, 2)
             log_event(self.name, "Disk regained.", seconds=seconds)
 
-    def _announce_progress(self) -> None:
-        self._progressed.set()
-        self._progressed.clear()
+    def _notify_progress(self) -> None:
+        self._progress.set()
+        self._progress.clear()
 
-    def _fail_waiting(self, detail: str) -> None:
-        self._waiters.fail(f"{self.name}: {detail}")
+    def _fail_pending(self, detail: str) -> None:
+        self._pending_proposals.fail_all(f"{self.name}: {detail}")
         inputs = [self._inbox.get_nowait() for _ in range(self._inbox.qsize())]
         self._fail_inputs(inputs, detail)
 
@@ -454,8 +456,8 @@
             ):
                 item.result.set_exception(error)
 
-    def _run_blocking(self, function: Callable, *arguments: object) -> object:
-        return self._disk.apply(function, arguments)
+    def _run_on_disk_thread(self, function: Callable, *arguments: object) -> object:
+        return self._disk_pool.apply(function, arguments)
 
 
 def _run_call(
--- a/packages/daemon/src/bergamotwood_daemon/journal.py
+++ b/packages/daemon/src/bergamotwood_daemon/journal.py
@@ -65,7 +65,7 @@
     ----------
     folder : Path
         Data folder, made with a new identity when it holds none.
-    fresh_identity : ReplicaId
+    new_identity : ReplicaId
         Identity for a new folder; must differ from any used before.
 
     Raises
@@ -76,13 +76,13 @@
         When another process uses the folder.
     """
 
-    def __init__(self, folder: Path, fresh_identity: ReplicaId) -> None:
+    def __init__(self, folder: Path, new_identity: ReplicaId) -> None:
         self._folder = folder
-        self._make_folder()
-        self._lock = self._take_lock()
+        self._create_folder()
+        self._lock = self._acquire_lock()
         self._file = -1
         try:
-            self._open(fresh_identity)
+            self._open(new_identity)
         except BaseException:
             self.close()
             raise
@@ -132,7 +132,7 @@
         self._replace_file(SNAPSHOT_NAME, frame)
         self._snapshot_bytes = len(frame)
         self._snapshot_index = snapshot.index
-        self._begin_log(tail)
+        self._rewrite_log(tail)
 
     def close(self) -> None:
         """Let go of the folder."""
@@ -144,26 +144,26 @@
     def _open(self, fresh_identity: ReplicaId) -> None:
         self._identity = Identity(fresh_identity)
         self._genesis: Genesis | None = None
-        self._hard = HardState()
+        self._hard_state = HardState()
         snapshot = self._read_snapshot()
         self._snapshot_index = snapshot.index if snapshot else LogIndex(0)
         if not (self._folder / LOG_NAME).exists():
             if snapshot is not None:
                 raise LogCorruptError(f"{self._folder}: snapshot without a log")
-            self._begin_log(())
+            self._rewrite_log(())
         entries = self._read_log()
         kept = tuple(entry for entry in entries if entry.index > self._snapshot_index)
         self.saved = SavedState(
-            self._identity.replica, self._genesis, self._hard, snapshot, kept
+            self._identity.replica, self._genesis, self._hard_state, snapshot, kept
         )
 
-    def _make_folder(self) -> None:
+    def _create_folder(self) -> None:
         if self._folder.is_dir():
             return
         self._folder.mkdir(parents=True)
         _sync_folder(self._folder.parent)
 
-    def _take_lock(self) -> int:
+    def _acquire_lock(self) -> int:
         lock = open_file(self._folder / LOCK_NAME, O_RDWR | O_CREAT, FILE_MODE)
         try:
             flock(lock, LOCK_EX | LOCK_NB)
@@ -192,10 +192,10 @@
         while offset < len(data):
             payload = _read_frame(data, offset)
             if payload is None:
-                self._check_tail(data, offset)
+                self._check_torn_tail(data, offset)
                 break
             for record in self._decode(payload, offset):
-                self._take_record(record, entries)
+                self._replay_record(record, entries)
             offset += HEADER.size + len(payload)
         if offset == 0:
             raise LogCorruptError(f"{path} has no whole frame")
@@ -206,13 +206,13 @@
             fsync(self._file)
         return entries
 
-    def _check_tail(self, data: bytes, offset: int) -> None:
-        following = data.find(MAGIC, offset + 1)
-        while following >= 0:
-            if _read_frame(data, following) is not None:
+    def _check_torn_tail(self, data: bytes, offset: int) -> None:
+        next_offset = data.find(MAGIC, offset + 1)
+        while next_offset >= 0:
+            if _read_frame(data, next_offset) is not None:
                 path = self._folder / LOG_NAME
                 raise LogCorruptError(f"{path} is damaged at byte {offset}")
-            following = data.find(MAGIC, following + 1)
+            next_offset = data.find(MAGIC, next_offset + 1)
 
     def _decode(self, payload: bytes, offset: int) -> tuple[Record, ...]:
         try:
@@ -221,7 +221,7 @@
             path = self._folder / LOG_NAME
             raise LogCorruptError(f"{path}: frame at byte {offset}: {error}")
 
-    def _take_record(self, record: Record, entries: list[Entry]) -> None:
+    def _replay_record(self, record: Record, entries: list[Entry]) -> None:
         match record:
             case Base(index):
                 if index > self._snapshot_index:
@@ -229,23 +229,23 @@
             case Entries(added):
                 _replace_entries(entries, added)
             case _:
-                self._remember(record)
+                self._update_state(record)
 
-    def _remember(self, record: Record) -> None:
+    def _update_state(self, record: Record) -> None:
         match record:
             case Identity():
                 self._identity = record
             case Binding(genesis):
                 self._genesis = genesis
             case HardState():
-                self._hard = record
+                self._hard_state = record
 
     def _write(self, batch: list[Record]) -> None:
         if not batch:
             return
         frame = _build_frame(_ENCODER.encode(batch))
         try:
-            _write_whole(self._file, frame)
+            _write_all(self._file, frame)
             fsync(self._file)
         except OSError:
             # A part of a frame must not stand before the next one.
@@ -253,13 +253,13 @@
             raise
         self._size += len(frame)
         for record in batch:
-            self._remember(record)
+            self._update_state(record)
 
-    def _begin_log(self, tail: tuple[Entry, ...]) -> None:
+    def _rewrite_log(self, tail: tuple[Entry, ...]) -> None:
         records: list[Record] = [Base(self._snapshot_index), self._identity]
         if self._genesis is not None:
             records.append(Binding(self._genesis))
-        records.append(self._hard)
+        records.append(self._hard_state)
         if tail:
             records.append(Entries(tail))
         frame = _build_frame(_ENCODER.encode(records))
@@ -275,7 +275,7 @@
         temporary.unlink(missing_ok=True)
         file = open_file(temporary, O_WRONLY | O_CREAT, FILE_MODE)
         try:
-            _write_whole(file, data)
+            _write_all(file, data)
             fsync(file)
         finally:
             close_file(file)
@@ -308,7 +308,7 @@
     entries.extend(added)
 
 
-def _write_whole(file: int, data: bytes) -> None:
+def _write_all(file: int, data: bytes) -> None:
     left = memoryview(data)
     while left:
         left = left[write_file(file, left) :]
--- a/packages/daemon/src/bergamotwood_daemon/log.py
+++ b/packages/daemon/src/bergamotwood_daemon/log.py
@@ -25,9 +25,9 @@
     return _WRITER.dropped
 
 
-def log_event(part: str, sentence: str, **fields: object) -> None:
+def log_event(component: str, message: str, **fields: object) -> None:
     """Log one event of a part of the daemon."""
-    log_message(message_type=part, message=f"{part}: {sentence}", **fields)
+    log_message(message_type=component, message=f"{component}: {message}", **fields)
 
 
 def log_failure(part: str, sentence: str, **fields: object) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/logwriter.py
+++ b/packages/daemon/src/bergamotwood_daemon/logwriter.py
@@ -13,15 +13,15 @@
 from msgspec import json
 
 # Lines that wait: some seconds of the heaviest day at 50 lines a second.
-MAX_WAITING = 4_096
+MAX_QUEUED_LINES = 4_096
 # Lines from which routine ones are dropped, so that others find room.
-MAX_WAITING_ROUTINE = MAX_WAITING // 2
+MAX_QUEUED_ROUTINE_LINES = MAX_QUEUED_LINES // 2
 # Messages of ordinary work, which come with every request.
-ROUTINE = frozenset(
+ROUTINE_MESSAGES = frozenset(
     ("request: Answered.", "attempt: Answer dropped for a larger model.")
 )
 # Time that the end of a process waits for the last lines, in seconds.
-CLOSE_SECONDS = 0.5
+CLOSE_TIMEOUT_SECONDS = 0.5
 
 Message = dict[str, object]
 
@@ -42,7 +42,7 @@
 
     def __init__(self, stream: BinaryIO) -> None:
         self.dropped = 0
-        self._said = 0
+        self._reported_dropped = 0
         self._stream = stream
         self._queue: SimpleQueue[Message | None] = SimpleQueue()
         self._thread = None
@@ -54,8 +54,8 @@
     def __call__(self, message: Message) -> None:
         """Take a message; never blocks."""
         waiting = self._queue.qsize()
-        routine = message.get("message") in ROUTINE
-        if waiting >= (MAX_WAITING_ROUTINE if routine else MAX_WAITING):
+        is_routine = message.get("message") in ROUTINE_MESSAGES
+        if waiting >= (MAX_QUEUED_ROUTINE_LINES if is_routine else MAX_QUEUED_LINES):
             self.dropped += 1
             return
         self._queue.put(message)
@@ -64,11 +64,11 @@
         """Write what waits, for a short time, and end."""
         if self._thread is not None:
             self._queue.put(None)
-            self._thread.wait(CLOSE_SECONDS)
+            self._thread.wait(CLOSE_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
         while True:
-            lines, is_last = self._take_lines()
+            lines, is_last = self._collect_lines()
             try:
                 self._stream.write(b"".join(lines))
                 self._stream.flush()
@@ -78,7 +78,7 @@
             if is_last:
                 return
 
-    def _take_lines(self) -> tuple[list[bytes], bool]:
+    def _collect_lines(self) -> tuple[list[bytes], bool]:
         messages = [self._queue.get()]
         try:
             while True:
@@ -86,10 +86,12 @@
         except Empty:
             pass
         lines = [_encode(message) for message in messages if message is not None]
-        if self.dropped > self._said:
-            count = self.dropped - self._said
-            self._said = self.dropped
-            lines.append(_encode({"message": "log: Lines dropped.", "count": count}))
+        if self.dropped > self._reported_dropped:
+            new_dropped = self.dropped - self._reported_dropped
+            self._reported_dropped = self.dropped
+            lines.append(
+                _encode({"message": "log: Lines dropped.", "count": new_dropped})
+            )
         return lines, None in messages
 
 
--- a/packages/daemon/src/bergamotwood_daemon/metrics.py
+++ b/packages/daemon/src/bergamotwood_daemon/metrics.py
@@ -5,8 +5,8 @@
 
 from aioprometheus import Gauge, Registry, render
 
+from bergamotwood_daemon.controlreplica import ControlReplica
 from bergamotwood_daemon.entry import Entry
-from bergamotwood_daemon.replicas import Replicas
 from bergamotwood_daemon.web import Response, WebRequest
 
 NO_LABELS: dict[str, str] = {}
@@ -28,16 +28,16 @@
     ----------
     entry : Entry
         The entry's tables.
-    replicas : Replicas or None
+    control_replica : ControlReplica or None
         The control role, where the instance has it.
     """
 
-    def __init__(self, entry: Entry, replicas: Replicas | None) -> None:
+    def __init__(self, entry: Entry, control_replica: ControlReplica | None) -> None:
         self._registry = Registry()
         self._readings: list[Reading] = []
-        self._add_entry(entry)
-        if replicas is not None:
-            self._add_replicas(replicas)
+        self._add_entry_gauges(entry)
+        if control_replica is not None:
+            self._add_replica_gauges(control_replica)
 
     def answer(self, request: WebRequest) -> Response:
         """Answer a scrape."""
@@ -48,46 +48,56 @@
         content_type = headers.get("Content-Type", "text/plain")
         return Response(200, content_type, [body])
 
-    def _add_entry(self, entry: Entry) -> None:
+    def _add_entry_gauges(self, entry: Entry) -> None:
         tables = entry.tables
-        self._add(
+        self._add_gauge(
             "config_age_seconds",
             "Age of the configuration in force",
             lambda: min(entry.measure_age(), UNKNOWN_AGE_SECONDS),
         )
-        self._add("config_index", "Log index in force", lambda: entry.watch.applied)
-        self._add("poll_sent", "Bytes sent by polls", lambda: entry.watch.sent_bytes)
-        self._add(
+        self._add_gauge(
+            "config_index", "Log index in force", lambda: entry.watch.applied
+        )
+        self._add_gauge(
+            "poll_sent", "Bytes sent by polls", lambda: entry.watch.sent_bytes
+        )
+        self._add_gauge(
             "poll_received",
             "Bytes received by polls",
             lambda: entry.watch.received_bytes,
         )
-        self._add("in_flight", "Requests in flight", lambda: len(tables.in_flight))
-        self._add("queued", "Requests waiting", lambda: entry.admission.queued)
-        self._add("settling", "Claims settling", lambda: entry.claims.settling)
-        self._add("requests", "Requests since start", lambda: entry.sequence)
-        self._add("retry_tokens", "Retries allowed", lambda: entry.retries.tokens)
-        self._add(
+        self._add_gauge(
+            "in_flight", "Requests in flight", lambda: len(tables.in_flight)
+        )
+        self._add_gauge("queued", "Requests waiting", lambda: entry.admission.queued)
+        self._add_gauge("settling", "Claims settling", lambda: entry.claims.settling)
+        self._add_gauge("requests", "Requests since start", lambda: entry.sequence)
+        self._add_gauge("retry_tokens", "Retries allowed", lambda: entry.retries.tokens)
+        self._add_gauge(
             "endpoints", "Endpoints known", lambda: len(tables.directory.endpoints)
         )
-        self._add("entries", "Entries known", lambda: len(tables.directory.entries))
-        self._add(
+        self._add_gauge(
+            "entries", "Entries known", lambda: len(tables.directory.entries)
+        )
+        self._add_gauge(
             "suspects",
             "Fingerprints under suspicion",
             lambda: len(tables.configuration.suspects),
         )
 
-    def _add_replicas(self, replicas: Replicas) -> None:
-        for group in (replicas.control, replicas.ledger):
+    def _add_replica_gauges(self, control_replica: ControlReplica) -> None:
+        for group in (control_replica.control_group, control_replica.ledger_group):
             name = group.name.replace("-", "_")
-            self._add(f"{name}_term", "Term", lambda group=group: group.term)
-            self._add(f"{name}_applied", "Applied", lambda group=group: group.applied)
-            self._add(
+            self._add_gauge(f"{name}_term", "Term", lambda group=group: group.term)
+            self._add_gauge(
+                f"{name}_applied", "Applied", lambda group=group: group.applied
+            )
+            self._add_gauge(
                 f"{name}_leader",
                 "Whether this replica leads",
                 lambda group=group: float(group.is_leader),
             )
 
-    def _add(self, name: str, doc: str, read: Callable[[], float]) -> None:
+    def _add_gauge(self, name: str, doc: str, read: Callable[[], float]) -> None:
         gauge = Gauge(f"bergamotwood_{name}", doc, registry=self._registry)
         self._readings.append(Reading(gauge, read))
--- a/packages/daemon/src/bergamotwood_daemon/ordering.py
+++ b/packages/daemon/src/bergamotwood_daemon/orderdispatcher.py
@@ -15,8 +15,8 @@
 from bergamotwood_daemon.log import log_event
 
 ORDER_PATH = "/v1/orders"
-CONNECT_SECONDS = 1.0
-ORDER_SECONDS = 10.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+ORDER_TIMEOUT_SECONDS = 10.0
 MAX_REPLY_BYTES = 65_536
 
 
@@ -29,7 +29,7 @@
     index: int
 
 
-class Ordering:
+class OrderDispatcher:
     """Decides and sends the orders of one control replica.
 
     Parameters
@@ -68,7 +68,7 @@
     def tick(self, now: Seconds) -> None:
         """Send the loads that are due."""
         holds_lease = self._group.holds_lease(now)
-        token = self._group.fencing_token() if holds_lease else None
+        token = self._group.build_fencing_token() if holds_lease else None
         orders = order_loads(
             self._machine.tables, self._directory, self._tables, token, self._pace, now
         )
@@ -85,26 +85,26 @@
             order.address, "POST", ORDER_PATH, headers, json.encode(body)
         )
         try:
-            call.dial(CONNECT_SECONDS)
+            call.dial(CONNECT_TIMEOUT_SECONDS)
             # The lease may have ended while the connection was dialled.
-            if not self._holds_token(order):
+            if not self._is_token_current(order):
                 return
-            call.send(ORDER_SECONDS)
-            call.read_all(ORDER_SECONDS, MAX_REPLY_BYTES)
+            call.send(ORDER_TIMEOUT_SECONDS)
+            call.read_all(ORDER_TIMEOUT_SECONDS, MAX_REPLY_BYTES)
             self._log(order, f"Endpoint answered {call.status}.")
         except EndpointError as error:
             self._log(order, f"Order failed: {error.detail}.")
         finally:
             call.close()
 
-    def _holds_token(self, order: LoadOrder) -> bool:
+    def _is_token_current(self, order: LoadOrder) -> bool:
         same_term = self._group.term == order.token.term
         return same_term and self._group.holds_lease(self._clock())
 
-    def _log(self, order: LoadOrder, sentence: str) -> None:
+    def _log(self, order: LoadOrder, message: str) -> None:
         log_event(
             "orders",
-            sentence,
+            message,
             endpoint=order.endpoint,
             version=order.version,
             term=order.token.term,
--- a/packages/daemon/src/bergamotwood_daemon/peer.py
+++ b/packages/daemon/src/bergamotwood_daemon/peer.py
@@ -123,19 +123,19 @@
 
     def Replicate(self, request: Frame, context: grpc.ServicerContext) -> Frame:  # noqa: N802
         """Take replication messages."""
-        return self._answer(self._handler.handle_replicate, request, context)
+        return self._handle(self._handler.handle_replicate, request, context)
 
     def Propose(self, request: Frame, context: grpc.ServicerContext) -> Frame:  # noqa: N802
         """Submit a command."""
-        return self._answer(self._handler.handle_propose, request, context)
+        return self._handle(self._handler.handle_propose, request, context)
 
     def Poll(self, request: Frame, context: grpc.ServicerContext) -> Frame:  # noqa: N802
         """Answer a poll."""
-        return self._answer(self._handler.handle_poll, request, context)
+        return self._handle(self._handler.handle_poll, request, context)
 
     def Query(self, request: Frame, context: grpc.ServicerContext) -> Frame:  # noqa: N802
         """Answer a query."""
-        return self._answer(self._handler.handle_query, request, context)
+        return self._handle(self._handler.handle_query, request, context)
 
     def _bind(self, address: str) -> int:
         if self._encryption is None:
@@ -143,15 +143,15 @@
         credentials = self._encryption.make_server_credentials()
         return self._server.add_secure_port(address, credentials)
 
-    def _answer(
+    def _handle(
         self,
         handle: Callable[[bytes], bytes],
         request: Frame,
         context: grpc.ServicerContext,
     ) -> Frame:
         metadata = dict(context.invocation_metadata())
-        shown = str(metadata.get(KEY_HEADER, ""))
-        if not compare_digest(shown.encode(), self._key.encode()):
+        presented_key = str(metadata.get(KEY_HEADER, ""))
+        if not compare_digest(presented_key.encode(), self._key.encode()):
             context.abort(grpc.StatusCode.UNAUTHENTICATED, "wrong instance key")
         try:
             return Frame(body=handle(request.body))
@@ -171,7 +171,7 @@
         self._metadata = ((KEY_HEADER, key),)
         self._channel: grpc.Channel | None = None
         self._backoff = 0.0
-        self._quiet_until = 0.0
+        self._redial_at = 0.0
         self.sent_bytes = 0
         self.received_bytes = 0
 
@@ -183,11 +183,11 @@
         ReplicationError
             The peer did not answer; it may have acted.
         """
-        if monotonic() < self._quiet_until:
+        if monotonic() < self._redial_at:
             raise ReplicationError(
                 f"{method} at {self._address}: not dialled again yet", run=Run.NOT_RUN
             )
-        channel = self._open()
+        channel = self._get_channel()
         try:
             rpc = getattr(PeerStub(channel), method)
             frame = Frame(body=body)
@@ -195,7 +195,7 @@
             reply = rpc(frame, timeout=timeout_seconds, metadata=self._metadata)
         except grpc.RpcError as error:
             if error.code() is not grpc.StatusCode.FAILED_PRECONDITION:
-                self._give_up(channel)
+                self._back_off(channel)
             raise ReplicationError(
                 f"{method} at {self._address}: {error.details()}", Code.NO_QUORUM
             ) from error
@@ -206,9 +206,9 @@
     def close(self) -> None:
         """Close the connection."""
         if self._channel is not None:
-            self._drop(self._channel)
+            self._discard(self._channel)
 
-    def _open(self) -> grpc.Channel:
+    def _get_channel(self) -> grpc.Channel:
         if self._channel is None:
             self._channel = self._dial()
         return self._channel
@@ -220,15 +220,15 @@
         credentials = self._encryption.make_channel_credentials()
         return grpc.secure_channel(target, credentials, options=CHANNEL_OPTIONS)
 
-    def _give_up(self, channel: grpc.Channel) -> None:
+    def _back_off(self, channel: grpc.Channel) -> None:
         """Drop a channel that failed, and dial anew only after a while."""
         if self._channel is channel:
             doubled = max(2.0 * self._backoff, MIN_REDIAL_SECONDS)
             self._backoff = min(doubled, MAX_REDIAL_SECONDS)
-            self._quiet_until = monotonic() + self._backoff * uniform(0.5, 1.0)
-        self._drop(channel)
+            self._redial_at = monotonic() + self._backoff * uniform(0.5, 1.0)
+        self._discard(channel)
 
-    def _drop(self, channel: grpc.Channel) -> None:
+    def _discard(self, channel: grpc.Channel) -> None:
         if self._channel is channel:
             self._channel = None
         channel.close()
--- a/packages/daemon/src/bergamotwood_daemon/waiters.py
+++ b/packages/daemon/src/bergamotwood_daemon/pendingproposals.py
@@ -6,7 +6,7 @@
 from bergamotwood_daemon.groupinput import Proposal
 
 
-class Waiters:
+class PendingProposals:
     """Proposals by the index and term at which they were appended."""
 
     def __init__(self) -> None:
@@ -17,36 +17,36 @@
 
     def add(self, index: LogIndex, term: Term, proposal: Proposal) -> None:
         """Wait for an entry that was appended just now."""
-        self._lose(index)
+        self._fail_overwritten(index)
         proposal.appended = True
         self._proposals[index] = (term, proposal)
 
     def resolve(self, entry: Entry, answer: bytes) -> None:
         """Answer the proposal of an applied entry."""
-        held = self._proposals.get(entry.index)
-        if held is None:
+        pending = self._proposals.get(entry.index)
+        if pending is None:
             return
-        term, proposal = held
+        term, proposal = pending
         if term != entry.term:
-            self._lose(entry.index)
+            self._fail_overwritten(entry.index)
             return
         del self._proposals[entry.index]
         proposal.result.set(answer)
 
-    def pass_over(self, index: LogIndex) -> None:
+    def fail_through(self, index: LogIndex) -> None:
         """Give up on entries that a snapshot contains."""
-        for passed in [held for held in self._proposals if held <= index]:
-            _, proposal = self._proposals.pop(passed)
+        for pending_index in [held for held in self._proposals if held <= index]:
+            _, proposal = self._proposals.pop(pending_index)
             proposal.result.set_exception(ReplicationError("passed over by a snapshot"))
 
-    def fail(self, detail: str) -> None:
+    def fail_all(self, detail: str) -> None:
         """Give up on all."""
         for _, proposal in self._proposals.values():
             proposal.result.set_exception(ReplicationError(detail))
         self._proposals.clear()
 
-    def _lose(self, index: LogIndex) -> None:
+    def _fail_overwritten(self, index: LogIndex) -> None:
         # Another entry has its place, so it will never be applied.
-        held = self._proposals.pop(index, None)
-        if held is not None:
-            held[1].result.set_exception(NotLeaderError("lost to a later term"))
+        pending = self._proposals.pop(index, None)
+        if pending is not None:
+            pending[1].result.set_exception(NotLeaderError("lost to a later term"))
--- a/packages/daemon/src/bergamotwood_daemon/proposer.py
+++ b/packages/daemon/src/bergamotwood_daemon/proposer.py
@@ -58,9 +58,9 @@
         self._channels = channels
         self._clock = clock
         self._rng = rng
-        self._order = list(channels)
-        self._room = BoundedSemaphore(MAX_CONCURRENT_CALLS)
-        rng.shuffle(self._order)
+        self._replica_order = list(channels)
+        self._call_slots = BoundedSemaphore(MAX_CONCURRENT_CALLS)
+        rng.shuffle(self._replica_order)
 
     def propose(self, command: bytes, timeout_seconds: float) -> bytes:
         """Commit a command and return the state machine's answer.
@@ -89,18 +89,18 @@
         backoff = MIN_BACKOFF_SECONDS
         run = Run.NOT_RUN
         while True:
-            left = deadline - self._clock()
-            if left <= 0.0:
+            remaining = deadline - self._clock()
+            if remaining <= 0.0:
                 break
-            match self._call(method, body, min(left, CALL_TIMEOUT_SECONDS)):
+            match self._call(method, body, min(remaining, CALL_TIMEOUT_SECONDS)):
                 case Committed(result):
                     return result
                 case NotLeader(leader):
-                    self._prefer(leader)
+                    self._prefer_leader(leader)
                 case Unknown():
                     run = Run.MAY_HAVE_RUN
-                    self._order.append(self._order.pop(0))
-            sleep(min(backoff * self._rng.uniform(0.5, 1.0), max(left, 0.0)))
+                    self._replica_order.append(self._replica_order.pop(0))
+            sleep(min(backoff * self._rng.uniform(0.5, 1.0), max(remaining, 0.0)))
             backoff = min(2.0 * backoff, MAX_BACKOFF_SECONDS)
         raise ReplicationError(
             f"{self._group}: no majority confirmed within {timeout_seconds} s",
@@ -112,8 +112,8 @@
     def _call(
         self, method: Method, body: bytes, timeout_seconds: float
     ) -> Committed | NotLeader | Unknown:
-        name = self._order[0]
-        if not self._room.acquire(timeout=timeout_seconds):
+        name = self._replica_order[0]
+        if not self._call_slots.acquire(timeout=timeout_seconds):
             return NotLeader(name)
         try:
             reply = self._channels[name].call(method, body, timeout_seconds)
@@ -122,13 +122,13 @@
                 return NotLeader()
             return Unknown(error.detail)
         finally:
-            self._room.release()
+            self._call_slots.release()
         return PROPOSE_REPLY.decode(reply)
 
-    def _prefer(self, leader: str | None) -> None:
+    def _prefer_leader(self, leader: str | None) -> None:
         if leader is None or leader not in self._channels:
-            self._order.append(self._order.pop(0))
+            self._replica_order.append(self._replica_order.pop(0))
             return
         name = InstanceId(leader)
-        self._order.remove(name)
-        self._order.insert(0, name)
+        self._replica_order.remove(name)
+        self._replica_order.insert(0, name)
--- a/packages/daemon/src/bergamotwood_daemon/ratings.py
+++ b/packages/daemon/src/bergamotwood_daemon/ratings.py
@@ -6,7 +6,7 @@
 from bergamotwood_core.ids import RequestClass
 from bergamotwood_core.messages import Address
 from bergamotwood_daemon.endpointcall import EndpointCall, Header
-from bergamotwood_daemon.settings import Listen
+from bergamotwood_daemon.settings import SocketAddress
 
 RATING_PATH = "/v1/ratings"
 RATING_SECONDS = 3.0
@@ -33,11 +33,11 @@
 
     Parameters
     ----------
-    listen : Listen or None
+    listen : SocketAddress or None
         Where the service is; None where the site has none.
     """
 
-    def __init__(self, listen: Listen | None) -> None:
+    def __init__(self, listen: SocketAddress | None) -> None:
         self._address = Address(listen.host, listen.port) if listen else None
 
     def rate(self, rating: RatingRequest) -> float | None:
--- a/packages/daemon/src/bergamotwood_daemon/relay.py
+++ b/packages/daemon/src/bergamotwood_daemon/relay.py
@@ -13,11 +13,11 @@
 from bergamotwood_daemon.peer import POLL, PeerChannel
 from bergamotwood_daemon.wire import ENCODER, PollRequest
 
-RELAY_SECONDS = 0.5
+RELAY_INTERVAL_SECONDS = 0.5
 RELAY_TIMEOUT_SECONDS = 1.0
-MAX_PENDING = 16_384
+MAX_PENDING_UPDATES = 16_384
 
-Item = Announcement | EntryReport | Evidence | RolloutReport
+Update = Announcement | EntryReport | Evidence | RolloutReport
 
 
 class Relay:
@@ -39,7 +39,7 @@
         self._channel = channel
         self._read_applied = read_applied
         self._rng = rng
-        self._pending: dict[str, Item] = {}
+        self._pending_updates: dict[str, Update] = {}
         self._greenlet = None
 
     def start(self) -> None:
@@ -51,47 +51,47 @@
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
 
-    def put(self, item: Item) -> None:
+    def put(self, update: Update) -> None:
         """Queue an item in the place of an older one of the same sender."""
-        if len(self._pending) < MAX_PENDING:
-            self._pending[_name_item(item)] = item
+        if len(self._pending_updates) < MAX_PENDING_UPDATES:
+            self._pending_updates[_make_key(update)] = update
 
     def _run(self) -> None:
         while True:
-            sleep(RELAY_SECONDS * self._rng.uniform(0.8, 1.2))
-            if self._pending:
+            sleep(RELAY_INTERVAL_SECONDS * self._rng.uniform(0.8, 1.2))
+            if self._pending_updates:
                 self._send()
 
     def _send(self) -> None:
-        sent = dict(self._pending)
+        sent = dict(self._pending_updates)
         request = PollRequest(
             applied=self._read_applied(),
             relayed=True,
-            announcements=_pick(sent, Announcement),
-            reports=_pick(sent, EntryReport),
-            ratings=_pick(sent, Evidence),
-            outcomes=_pick(sent, RolloutReport),
+            announcements=_filter_by_type(sent, Announcement),
+            reports=_filter_by_type(sent, EntryReport),
+            ratings=_filter_by_type(sent, Evidence),
+            outcomes=_filter_by_type(sent, RolloutReport),
         )
         try:
             self._channel.call(POLL, ENCODER.encode(request), RELAY_TIMEOUT_SECONDS)
         except ReplicationError:
             return
-        for name, item in sent.items():
-            if self._pending.get(name) is item:
-                del self._pending[name]
+        for key, update in sent.items():
+            if self._pending_updates.get(key) is update:
+                del self._pending_updates[key]
 
 
-def _pick(items: dict[str, Item], kind: type) -> tuple:
-    return tuple(item for item in items.values() if isinstance(item, kind))
+def _filter_by_type(updates: dict[str, Update], update_type: type) -> tuple:
+    return tuple(item for item in updates.values() if isinstance(item, update_type))
 
 
-def _name_item(item: Item) -> str:
-    match item:
+def _make_key(update: Update) -> str:
+    match update:
         case Announcement():
-            return f"endpoint/{item.id}"
+            return f"endpoint/{update.id}"
         case EntryReport():
-            return f"entry/{item.id}"
+            return f"entry/{update.id}"
         case Evidence():
-            return f"ratings/{item.source}/{item.sequence}"
+            return f"ratings/{update.source}/{update.sequence}"
         case RolloutReport():
-            return f"outcomes/{item.source}/{item.rollout}"
+            return f"outcomes/{update.source}/{update.rollout}"
--- a/packages/daemon/src/bergamotwood_daemon/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/settings.py
@@ -10,7 +10,7 @@
 from bergamotwood_core.configuration import KeyHash, Name
 from bergamotwood_core.document import DocumentError, list_faults, load_document
 from bergamotwood_core.errors import SettingsError
-from bergamotwood_daemon.settingscheck import SECRETS, find_cross_faults
+from bergamotwood_daemon.settingscheck import SECRET_FIELDS, find_cross_field_faults
 
 MAX_SETTINGS_BYTES = 1_000_000
 
@@ -35,18 +35,18 @@
     CONTROL = "control"
 
 
-class _Part(BaseModel):
+class _Section(BaseModel):
     model_config = ConfigDict(frozen=True, extra="forbid", allow_inf_nan=False)
 
 
-class Listen(_Part):
+class SocketAddress(_Section):
     """An IP number and a port to listen on."""
 
     host: Host = "127.0.0.1"
     port: Port
 
 
-class ReplicaAddress(_Part):
+class ReplicaAddress(_Section):
     """A control replica and where its peers reach it."""
 
     id: Name
@@ -54,7 +54,7 @@
     port: Annotated[int, Field(ge=1, le=65_535)]
 
 
-class Limits(_Part):
+class Limits(_Section):
     """Bounds on what comes from outside.
 
     Parameters
@@ -70,7 +70,7 @@
     body_seconds: PositiveSeconds = 10.0
 
 
-class Timeouts(_Part):
+class Timeouts(_Section):
     """Waits, in seconds.
 
     Parameters
@@ -101,7 +101,7 @@
     drain: PositiveSeconds = 6.0
 
 
-class Tls(_Part):
+class Tls(_Section):
     """Files of a certificate, its key, and the authority that peers must show.
 
     Parameters
@@ -117,7 +117,7 @@
     authority: Path | None = None
 
 
-class WeightStore(_Part):
+class WeightStore(_Section):
     """The weight store's limit, to which orders are paced.
 
     Parameters
@@ -132,7 +132,7 @@
     burst: int = Field(ge=1, le=1_000, default=2)
 
 
-class Settings(_Part):
+class Settings(_Section):
     """Everything a daemon is told at its start.
 
     Parameters
@@ -141,9 +141,9 @@
         Name and place of the instance.
     nearby : tuple of str
         Data centres within a few milliseconds, used like its own.
-    listen, peer_listen : Listen
+    listen, peer_listen : SocketAddress
         Where callers and other daemons reach it.
-    advertise : Listen or None
+    advertise : SocketAddress or None
         What callers are told in place of `listen`.
     roles : tuple of Role
         Entry, control, or both.
@@ -161,7 +161,7 @@
         An entry with an older configuration takes no new work.
     address_ttl_seconds : int
         How long callers may keep the answer of `/v1/addresses`.
-    rating_address : Listen or None
+    rating_address : SocketAddress or None
         Where the rating service is.
     order_key : str
         Shown to endpoints with orders.
@@ -180,9 +180,9 @@
     instance: Name
     data_centre: Name
     nearby: tuple[Name, ...] = ()
-    listen: Listen
-    peer_listen: Listen
-    advertise: Listen | None = None
+    listen: SocketAddress
+    peer_listen: SocketAddress
+    advertise: SocketAddress | None = None
     roles: tuple[Role, ...] = Field(min_length=1, default=(Role.ENTRY,))
     data_folder: Path | None = None
     replicas: tuple[ReplicaAddress, ...] = Field(min_length=1, max_length=7)
@@ -193,7 +193,7 @@
     order_key: str = ""
     max_config_age_seconds: PositiveSeconds = 5.0
     address_ttl_seconds: int = Field(ge=1, le=3_600, default=5)
-    rating_address: Listen | None = None
+    rating_address: SocketAddress | None = None
     trace_file: Path | None = None
     allow_plain: bool = False
     tls: Tls | None = None
@@ -203,7 +203,7 @@
     timeouts: Timeouts = Timeouts()
 
     @property
-    def advertised(self) -> Listen:
+    def advertised(self) -> SocketAddress:
         """Where callers are told to connect."""
         return self.advertise or self.listen
 
@@ -268,7 +268,7 @@
     SettingsError
         With every fault at once.
     """
-    faults = list(find_cross_faults(document))
+    faults = list(find_cross_field_faults(document))
     settings = None
     try:
         settings = Settings.model_validate(document)
@@ -280,11 +280,11 @@
 
 
 def _list_field_faults(error: ValidationError) -> list[str]:
-    return [_hide_secret(fault) for fault in list_faults(error)]
+    return [_redact_secret(fault) for fault in list_faults(error)]
 
 
-def _hide_secret(fault: str) -> str:
+def _redact_secret(fault: str) -> str:
     name = fault.partition(":")[0]
-    if name not in SECRETS:
+    if name not in SECRET_FIELDS:
         return fault
     return fault.partition(" (got ")[0]
--- a/packages/daemon/src/bergamotwood_daemon/settingscheck.py
+++ b/packages/daemon/src/bergamotwood_daemon/settingscheck.py
@@ -4,12 +4,12 @@
 from ipaddress import ip_address
 from typing import Any
 
-SECRETS = ("instance_key", "session_secret", "order_key")
+SECRET_FIELDS = ("instance_key", "session_secret", "order_key")
 DEFAULT_DRAIN_SECONDS = 6.0
 DEFAULT_TTL_SECONDS = 5
 
 
-def find_cross_faults(document: Any) -> Iterator[str]:
+def find_cross_field_faults(document: Any) -> Iterator[str]:
     """Find the faults that concern more than one field.
 
     The document need not be valid in itself: what is missing or of a wrong
@@ -29,7 +29,7 @@
         return
     yield from _check_control(document)
     yield from _check_replicas(document)
-    yield from _check_plain(document)
+    yield from _check_plaintext_listeners(document)
     yield from _check_peer_tls(document)
     yield from _check_secrets(document)
     yield from _check_drain(document)
@@ -40,7 +40,7 @@
         return
     if not document.get("data_folder"):
         yield "data_folder: is required by the role control"
-    names = [_find(item, "id") for item in _list_items(document, "replicas")]
+    names = [_get_value(item, "id") for item in _list_items(document, "replicas")]
     if document.get("instance") not in names:
         yield (
             f"replicas: must name this instance, {document.get('instance')!r}, "
@@ -50,23 +50,25 @@
 
 def _check_replicas(document: Mapping[str, Any]) -> Iterator[str]:
     replicas = _list_items(document, "replicas")
-    names = [str(_find(item, "id")) for item in replicas]
-    places = [(_find(item, "host"), _find(item, "port")) for item in replicas]
-    for position, (name, place) in enumerate(zip(names, places, strict=True)):
-        if name in names[:position]:
-            yield f"replicas[{position}].id: {name!r} stands twice"
-        if place in places[:position]:
-            yield f"replicas[{position}]: address {place[0]}:{place[1]} stands twice"
+    names = [str(_get_value(item, "id")) for item in replicas]
+    addresses = [
+        (_get_value(item, "host"), _get_value(item, "port")) for item in replicas
+    ]
+    for index, (name, address) in enumerate(zip(names, addresses, strict=True)):
+        if name in names[:index]:
+            yield f"replicas[{index}].id: {name!r} stands twice"
+        if address in addresses[:index]:
+            yield f"replicas[{index}]: address {address[0]}:{address[1]} stands twice"
     roles = _list_items(document, "roles")
     if document.get("instance") in names and roles and "control" not in roles:
         yield "roles: must have control, since replicas names this instance"
 
 
-def _check_plain(document: Mapping[str, Any]) -> Iterator[str]:
+def _check_plaintext_listeners(document: Mapping[str, Any]) -> Iterator[str]:
     if document.get("allow_plain") is True:
         return
     for name, tls in (("listen", "tls"), ("peer_listen", "peer_tls")):
-        host = _find(document.get(name), "host")
+        host = _get_value(document.get(name), "host")
         if _is_beyond_loopback(host) and not document.get(tls):
             yield (
                 f"{name}.host: {host!r} without encryption; must be a loopback "
@@ -76,13 +78,13 @@
 
 def _check_peer_tls(document: Mapping[str, Any]) -> Iterator[str]:
     tls = document.get("peer_tls")
-    if tls and not _find(tls, "authority"):
+    if tls and not _get_value(tls, "authority"):
         yield "peer_tls.authority: is required, since instances check each other"
 
 
 def _check_secrets(document: Mapping[str, Any]) -> Iterator[str]:
     seen: dict[str, str] = {}
-    for name in SECRETS:
+    for name in SECRET_FIELDS:
         secret = document.get(name)
         if not isinstance(secret, str) or not secret:
             continue
@@ -96,7 +98,7 @@
 
 
 def _check_drain(document: Mapping[str, Any]) -> Iterator[str]:
-    drain = _find(document.get("timeouts"), "drain", DEFAULT_DRAIN_SECONDS)
+    drain = _get_value(document.get("timeouts"), "drain", DEFAULT_DRAIN_SECONDS)
     ttl = document.get("address_ttl_seconds", DEFAULT_TTL_SECONDS)
     if not isinstance(drain, int | float) or not isinstance(ttl, int | float):
         return
@@ -116,8 +118,8 @@
         return False
 
 
-def _find(part: object, name: str, default: object = None) -> Any:
-    return part.get(name, default) if isinstance(part, Mapping) else default
+def _get_value(section: object, name: str, default: object = None) -> Any:
+    return section.get(name, default) if isinstance(section, Mapping) else default
 
 
 def _list_items(document: Mapping[str, Any], name: str) -> list[Any]:
--- a/packages/daemon/src/bergamotwood_daemon/ticker.py
+++ b/packages/daemon/src/bergamotwood_daemon/ticker.py
@@ -12,18 +12,18 @@
 from bergamotwood_core.states import RolloutState
 from bergamotwood_core.tables import ConfigurationTables
 from bergamotwood_daemon.admittance import Admittance
+from bergamotwood_daemon.controlreplica import ControlReplica
 from bergamotwood_daemon.encryption import ServerEncryption
 from bergamotwood_daemon.entry import Entry
 from bergamotwood_daemon.group import LogGroup
 from bergamotwood_daemon.log import log_event, log_failure
-from bergamotwood_daemon.ordering import Ordering
-from bergamotwood_daemon.replicas import Replicas
+from bergamotwood_daemon.orderdispatcher import OrderDispatcher
 
-TICK_SECONDS = 0.1
-COMMIT_SECONDS = 2.0
-LEDGER_TICK_SECONDS = 10.0
-SLOW_TICK_SECONDS = 0.5
-ACTIVE_STATES = (RolloutState.RUNNING, RolloutState.PAUSED)
+TICK_INTERVAL_SECONDS = 0.1
+COMMIT_TIMEOUT_SECONDS = 2.0
+LEDGER_TICK_INTERVAL_SECONDS = 10.0
+SLOW_TASK_INTERVAL_SECONDS = 0.5
+ACTIVE_ROLLOUT_STATES = (RolloutState.RUNNING, RolloutState.PAUSED)
 
 
 class Ticker:
@@ -35,9 +35,9 @@
         The entry's tables.
     admittance : Admittance
         Requests that wait.
-    replicas : Replicas or None
+    control_replica : ControlReplica or None
         The control role, where the instance has it.
-    ordering : Ordering or None
+    order_dispatcher : OrderDispatcher or None
         Orders to endpoints, with the control role.
     tls : ServerEncryption or None
         Files to look at for changes.
@@ -47,18 +47,18 @@
         self,
         entry: Entry,
         admittance: Admittance,
-        replicas: Replicas | None,
-        ordering: Ordering | None,
+        control_replica: ControlReplica | None,
+        order_dispatcher: OrderDispatcher | None,
         tls: ServerEncryption | None,
     ) -> None:
-        self._ordering = ordering
+        self._order_dispatcher = order_dispatcher
         self._tls = tls
         self._entry = entry
         self._admittance = admittance
-        self._replicas = replicas
+        self._control_replica = control_replica
         self._greenlet = None
-        self._ledger_time = entry.clock()
-        self._slow_at = entry.clock()
+        self._ledger_ticked_at = entry.clock()
+        self._slow_tasks_ran_at = entry.clock()
 
     def start(self) -> None:
         """Begin to tick."""
@@ -70,7 +70,7 @@
 
     def _run(self) -> None:
         while True:
-            sleep(TICK_SECONDS)
+            sleep(TICK_INTERVAL_SECONDS)
             try:
                 self._tick(self._entry.clock())
             except Exception:
@@ -81,27 +81,27 @@
         expire_endpoints(directory, now)
         expire_entries(directory, now)
         self._admittance.expire(now)
-        self._watch_rollouts(self._entry.tables.configuration)
-        self._run_slow_systems(now)
-        if self._replicas is None:
+        self._track_rollout_outcomes(self._entry.tables.configuration)
+        self._run_slow_tasks(now)
+        if self._control_replica is None:
             return
-        self._replicas.expire(now)
-        if self._replicas.control.is_leader:
+        self._control_replica.expire(now)
+        if self._control_replica.control_group.is_leader:
             self._advance_rollouts(now)
-        self._pass_ledger_time(now)
+        self._advance_ledger_clock(now)
 
-    def _run_slow_systems(self, now: Seconds) -> None:
+    def _run_slow_tasks(self, now: Seconds) -> None:
         """Run what a tick in ten is enough for."""
-        if now - self._slow_at < SLOW_TICK_SECONDS:
+        if now - self._slow_tasks_ran_at < SLOW_TASK_INTERVAL_SECONDS:
             return
-        self._slow_at = now
+        self._slow_tasks_ran_at = now
         self._admittance.set_limits(self._entry.tables.directory, now)
         if self._tls is not None:
-            self._tls.reload()
-        if self._ordering is not None:
-            self._ordering.tick(now)
+            self._tls.reload_if_changed()
+        if self._order_dispatcher is not None:
+            self._order_dispatcher.tick(now)
 
-    def _watch_rollouts(self, tables: ConfigurationTables) -> None:
+    def _track_rollout_outcomes(self, tables: ConfigurationTables) -> None:
         """Count outcomes under each roll-out that is under way."""
         outcomes = self._entry.outcomes
         for id, rollout in tables.rollouts.items():
@@ -109,27 +109,27 @@
             model = tables.models.get(rollout.model)
             if progress is None or model is None:
                 continue
-            if progress.state not in ACTIVE_STATES:
+            if progress.state not in ACTIVE_ROLLOUT_STATES:
                 outcomes.forget(id)
                 continue
             outcomes.watch(id, progress.ticket, rollout.candidate, model.current)
 
-    def _pass_ledger_time(self, now: Seconds) -> None:
+    def _advance_ledger_clock(self, now: Seconds) -> None:
         """Let the ledger's time pass, while this replica leads it."""
-        elapsed = now - self._ledger_time
-        if elapsed < LEDGER_TICK_SECONDS:
+        elapsed = now - self._ledger_ticked_at
+        if elapsed < LEDGER_TICK_INTERVAL_SECONDS:
             return
-        self._ledger_time = now
-        if self._replicas.ledger.is_leader:
+        self._ledger_ticked_at = now
+        if self._control_replica.ledger_group.is_leader:
             tick = encode_ledger_command(Tick(elapsed))
-            spawn(_commit, self._replicas.ledger, tick)
+            spawn(_commit, self._control_replica.ledger_group, tick)
 
     def _advance_rollouts(self, now: Seconds) -> None:
-        replicas = self._replicas
+        control_replica = self._control_replica
         changes = advance_rollouts(
-            replicas.control_machine.tables,
-            replicas.directory.tables,
-            replicas.rollout_watches,
+            control_replica.control_machine.tables,
+            control_replica.directory.tables,
+            control_replica.rollout_watches,
             now,
             self._entry.settings.rating_address is not None,
         )
@@ -152,11 +152,11 @@
                 exposed=progress.exposed,
                 reason=progress.reason,
             )
-            _commit(replicas.control, encode_command(command))
+            _commit(control_replica.control_group, encode_command(command))
 
 
 def _commit(group: LogGroup, command: bytes) -> None:
     try:
-        group.propose(command, COMMIT_SECONDS)
+        group.propose(command, COMMIT_TIMEOUT_SECONDS)
     except ReplicationError as error:
         log_event("tick", "Not committed.", group=group.name, detail=error.detail)
--- a/packages/daemon/src/bergamotwood_daemon/watch.py
+++ b/packages/daemon/src/bergamotwood_daemon/watch.py
@@ -22,7 +22,7 @@
 HOLD_SECONDS = 0.5
 POLL_TIMEOUT_SECONDS = 1.5
 # Least time between two urgent reports.
-REPORT_SECONDS = 0.1
+MIN_REPORT_INTERVAL_SECONDS = 0.1
 REPORT_TIMEOUT_SECONDS = 1.0
 MAX_USEFUL_AGE_SECONDS = 2.0
 MIN_BACKOFF_SECONDS = 0.05
@@ -41,7 +41,7 @@
         The entry's tables, which the news goes into.
     channels : dict of InstanceId to PeerChannel
         The control replicas, in order of preference.
-    describe : callable
+    make_report : callable
         Gives the entry's report on itself.
     policy : CascadePolicy
         Exchanges ratings with the other entries.
@@ -58,7 +58,7 @@
         machine: ControlMachine,
         tables: Tables,
         channels: dict[InstanceId, PeerChannel],
-        describe: Callable[[], EntryReport],
+        make_report: Callable[[], EntryReport],
         policy: CascadePolicy,
         outcomes: OutcomeCounter,
         clock: Callable[[], Seconds],
@@ -69,22 +69,22 @@
         self.leader: InstanceId | None = None
         self._tables = tables
         self._channels = channels
-        self._describe = describe
+        self._make_report = make_report
         self._policy = policy
         self._outcomes = outcomes
         self._clock = clock
         self._rng = rng
-        self._order = list(channels)
+        self._replica_order = list(channels)
         self._boot = ""
         self._cursor = 0
         self._confirmed_at: Seconds | None = None
-        self._pending: dict[str, Announcement] = {}
-        self._urgent = Event()
+        self._pending_announcements: dict[str, Announcement] = {}
+        self._urgent_report = Event()
         self._greenlets = []
 
     def start(self) -> None:
         """Begin to poll and to report."""
-        self._greenlets = [spawn(self._poll_forever), spawn(self._report_forever)]
+        self._greenlets = [spawn(self._run_polls), spawn(self._run_reports)]
 
     def stop(self) -> None:
         """Stop polling."""
@@ -107,7 +107,7 @@
             return float("inf")
         return now - self._confirmed_at
 
-    def offer(self, announcement: Announcement, urgent: bool) -> None:
+    def queue_announcement(self, announcement: Announcement, urgent: bool) -> None:
         """Queue an endpoint's announcement for the control replicas.
 
         Parameters
@@ -117,82 +117,90 @@
         urgent : bool
             Whether it changes the membership, so that it goes out at once.
         """
-        if len(self._pending) >= MAX_PENDING_ANNOUNCEMENTS:
+        if len(self._pending_announcements) >= MAX_PENDING_ANNOUNCEMENTS:
             return
-        self._pending[announcement.id] = announcement
+        self._pending_announcements[announcement.id] = announcement
         if urgent:
-            self._urgent.set()
+            self._urgent_report.set()
 
     def report_now(self) -> bool:
         """Send reports at once; return whether a replica took them."""
         return any(
             self._send_report(name, 0.0, REPORT_TIMEOUT_SECONDS)
-            for name in list(self._order)
+            for name in list(self._replica_order)
         )
 
-    def _report_forever(self) -> None:
+    def _run_reports(self) -> None:
         while True:
-            self._urgent.wait()
-            self._urgent.clear()
+            self._urgent_report.wait()
+            self._urgent_report.clear()
             self.report_now()
-            sleep(REPORT_SECONDS)
+            sleep(MIN_REPORT_INTERVAL_SECONDS)
 
-    def _poll_forever(self) -> None:
+    def _run_polls(self) -> None:
         backoff = MIN_BACKOFF_SECONDS
         while True:
-            if self._send_report(self._order[0], HOLD_SECONDS, POLL_TIMEOUT_SECONDS):
+            if self._send_report(
+                self._replica_order[0], HOLD_SECONDS, POLL_TIMEOUT_SECONDS
+            ):
                 backoff = MIN_BACKOFF_SECONDS
                 continue
-            self._order.append(self._order.pop(0))
+            self._replica_order.append(self._replica_order.pop(0))
             sleep(backoff * self._rng.uniform(0.5, 1.0))
             backoff = min(2.0 * backoff, MAX_BACKOFF_SECONDS)
 
-    def _send_report(self, name: InstanceId, hold: float, limit: float) -> bool:
+    def _send_report(
+        self, name: InstanceId, hold_seconds: float, timeout_seconds: float
+    ) -> bool:
         """Report to one replica and take its news; it may wait for some."""
-        announcements = tuple(self._pending.values())
-        self._pending.clear()
+        announcements = tuple(self._pending_announcements.values())
+        self._pending_announcements.clear()
         request = PollRequest(
             applied=self.applied,
-            hold_seconds=hold,
+            hold_seconds=hold_seconds,
             boot=self._boot,
             cursor=self._cursor,
-            report=self._describe(),
+            report=self._make_report(),
             announcements=announcements,
-            ratings=self._take_ratings(),
+            ratings=self._collect_ratings(),
             outcomes=tuple(self._outcomes.list_reports()),
         )
-        if self._exchange(name, request, limit):
+        if self._poll(name, request, timeout_seconds):
             return True
         for announcement in announcements:
-            self._pending.setdefault(announcement.id, announcement)
+            self._pending_announcements.setdefault(announcement.id, announcement)
         return False
 
-    def _take_ratings(self) -> tuple[Evidence, ...]:
+    def _collect_ratings(self) -> tuple[Evidence, ...]:
         evidence = self._policy.take_evidence()
         return (evidence,) if evidence.cells else ()
 
-    def _exchange(self, name: InstanceId, request: PollRequest, limit: float) -> bool:
+    def _poll(
+        self, name: InstanceId, request: PollRequest, timeout_seconds: float
+    ) -> bool:
         sent_at = self._clock()
         try:
-            body = self._channels[name].call(POLL, ENCODER.encode(request), limit)
+            body = self._channels[name].call(
+                POLL, ENCODER.encode(request), timeout_seconds
+            )
         except ReplicationError:
             return False
         reply = POLL_REPLY.decode(body)
-        self._take(reply, sent_at)
+        self._apply_reply(reply, sent_at)
         return reply.age_seconds <= MAX_USEFUL_AGE_SECONDS
 
-    def _take(self, reply: PollReply, sent_at: Seconds) -> None:
-        self._take_directory(reply)
+    def _apply_reply(self, reply: PollReply, sent_at: Seconds) -> None:
+        self._apply_directory_changes(reply)
         if reply.applied < self.applied:
             # A replica that lags behind proves nothing about our configuration.
             return
-        self._take_changes(reply)
+        self._apply_changes(reply)
         confirmed_at = Seconds(sent_at - reply.age_seconds)
         if self._confirmed_at is None or confirmed_at > self._confirmed_at:
             self._confirmed_at = confirmed_at
             self.leader = reply.leader
 
-    def _take_changes(self, reply: PollReply) -> None:
+    def _apply_changes(self, reply: PollReply) -> None:
         if reply.applied == self.applied:
             return
         if reply.snapshot is not None:
@@ -202,7 +210,7 @@
                 self.machine.apply(change.index, change.command)
         self.applied = reply.applied
 
-    def _take_directory(self, reply: PollReply) -> None:
+    def _apply_directory_changes(self, reply: PollReply) -> None:
         now = self._clock()
         for announcement in reply.announcements:
             merge_announcement(self._tables.directory, announcement, now)
--- a/tests/daemon/loggroups.py
+++ b/tests/daemon/loggroups.py
@@ -32,15 +32,15 @@
 
 
 class MemoryTransport:
-    """Delivers to groups of the same process, but for cut instances."""
+    """Delivers to groups of the same process, but for isolated instances."""
 
-    def __init__(self, source, groups, cut):
+    def __init__(self, source, groups, isolated):
         self.source = source
         self.groups = groups
-        self.cut = cut
+        self.isolated = isolated
 
     def send(self, target, body):
-        if self.source in self.cut or target in self.cut:
+        if self.source in self.isolated or target in self.isolated:
             return
         spawn(self._deliver, target, body)
 
@@ -50,7 +50,7 @@
             group.receive(body)
 
 
-class Fleet:
+class Cluster:
     """The replicas of one group."""
 
     def __init__(self, folder, names=NAMES, **settings):
@@ -59,7 +59,7 @@
         self.settings = settings
         self.groups = {}
         self.machines = {}
-        self.cut = set()
+        self.isolated = set()
 
     def start(self, name, machine=None):
         settings = GroupSettings(
@@ -75,7 +75,7 @@
             },
         )
         self.machines[name] = machine or ListMachine()
-        transport = MemoryTransport(name, self.groups, self.cut)
+        transport = MemoryTransport(name, self.groups, self.isolated)
         group = LogGroup(
             "control",
             settings,
@@ -105,7 +105,7 @@
 
     def find_leader(self):
         for group in self.groups.values():
-            if group.is_leader and group.confirmed_age(read_clock()) < 1.0:
+            if group.is_leader and group.measure_age(read_clock()) < 1.0:
                 return group
         return None
 
--- a/tests/daemon/test_encryption.py
+++ b/tests/daemon/test_encryption.py
@@ -99,33 +99,35 @@
     return x509.load_der_x509_certificate(der).serial_number
 
 
-def test_changed_files_serve_new_connections_without_a_restart(authority, serve):
+def test_new_connections_use_changed_files_without_a_restart(authority, serve):
     encryption = ServerEncryption(authority.issue(1))
     port = serve(encryption)
     assert read_serial(port, authority) == 1
-    assert not encryption.reload()
+    assert not encryption.reload_if_changed()
     authority.issue(2)
-    assert encryption.reload()
+    assert encryption.reload_if_changed()
     assert read_serial(port, authority) == 2
 
 
-def test_broken_files_leave_the_old_ones_in_use(authority, serve):
+def test_invalid_files_leave_the_previous_certificate_in_use(authority, serve):
     tls = authority.issue(1)
     encryption = ServerEncryption(tls)
     port = serve(encryption)
     tls.certificate.write_bytes(b"not a certificate")
-    assert not encryption.reload()
+    assert not encryption.reload_if_changed()
     assert read_serial(port, authority) == 1
 
 
-def test_caller_that_trusts_another_authority_refuses(authority, serve, tmp_path):
+def test_caller_that_trusts_another_authority_rejects_the_certificate(
+    authority, serve, tmp_path
+):
     port = serve(ServerEncryption(authority.issue(1)))
     (tmp_path / "other").mkdir()
     with pytest.raises(SSLError):
         read_serial(port, Authority(tmp_path / "other"))
 
 
-def test_missing_files_are_a_settings_fault(authority, tmp_path):
+def test_missing_key_file_is_a_settings_error(authority, tmp_path):
     tls = authority.issue(1)
     tls.key.unlink()
     with pytest.raises(SettingsError):
--- a/tests/daemon/test_group.py
+++ b/tests/daemon/test_group.py
@@ -2,7 +2,7 @@
 from threading import Event as ThreadEvent
 
 import pytest
-from daemon.loggroups import NAMES, Fleet, ListMachine, read_clock, wait_until
+from daemon.loggroups import NAMES, Cluster, ListMachine, read_clock, wait_until
 from gevent import get_hub, joinall, spawn
 
 from bergamotwood_core.errors import NotLeaderError, ReplicationError
@@ -10,10 +10,10 @@
 
 
 @pytest.fixture
-def fleet(tmp_path):
-    fleet = Fleet(tmp_path, snapshot_entries=200, kept_entries=20)
-    yield fleet
-    fleet.stop_all()
+def cluster(tmp_path):
+    cluster = Cluster(tmp_path, snapshot_entries=200, kept_entries=20)
+    yield cluster
+    cluster.stop_all()
 
 
 def propose_many(group, count, prefix=b"x"):
@@ -22,139 +22,141 @@
     return [job.value for job in jobs]
 
 
-def test_a_command_is_answered_and_reaches_every_machine(fleet):
-    leader = fleet.start_all()
+def test_committed_command_is_answered_and_applied_by_every_replica(cluster):
+    leader = cluster.start_all()
     answer = leader.propose(b"one", 5.0)
     assert answer.endswith(b":one")
     for name in NAMES:
-        wait_until(partial(lambda n: fleet.machines[n].commands == [b"one"], name))
+        wait_until(partial(lambda n: cluster.machines[n].commands == [b"one"], name))
 
 
-def test_a_follower_refuses_and_names_the_leader(fleet):
-    leader = fleet.start_all()
-    follower = next(g for g in fleet.groups.values() if not g.is_leader)
+def test_follower_rejects_a_proposal_and_names_the_leader(cluster):
+    leader = cluster.start_all()
+    follower = next(g for g in cluster.groups.values() if not g.is_leader)
     wait_until(lambda: follower.leader is not None)
     with pytest.raises(NotLeaderError) as caught:
         follower.propose(b"one", 5.0)
-    assert fleet.groups[caught.value.leader] is leader
+    assert cluster.groups[caught.value.leader] is leader
     assert caught.value.run is Run.NOT_RUN
 
 
-def test_without_a_majority_the_outcome_is_unknown_and_ages_rise(fleet):
-    leader = fleet.start_all()
+def test_isolated_leader_reports_unknown_outcome_and_steps_down(cluster):
+    leader = cluster.start_all()
     wait_until(lambda: leader.holds_lease(read_clock()))
-    fleet.cut.update(name for name in NAMES if fleet.groups[name] is not leader)
+    cluster.isolated.update(
+        name for name in NAMES if cluster.groups[name] is not leader
+    )
     with pytest.raises(ReplicationError) as caught:
         leader.propose(b"lost?", 0.5)
     assert caught.value.run is Run.MAY_HAVE_RUN
     wait_until(lambda: not leader.is_leader)
     assert not leader.holds_lease(read_clock())
-    assert leader.confirmed_age(read_clock()) > 0.4
+    assert leader.measure_age(read_clock()) > 0.4
     with pytest.raises(NotLeaderError):
         leader.propose(b"refused", 5.0)
 
 
-def test_a_planned_stop_hands_over(fleet):
-    leader = fleet.start_all()
+def test_planned_stop_transfers_leadership(cluster):
+    leader = cluster.start_all()
     leader.propose(b"one", 5.0)
-    name = next(n for n in NAMES if fleet.groups[n] is leader)
+    name = next(n for n in NAMES if cluster.groups[n] is leader)
     term = leader.term
-    fleet.stop(name, handover=True)
-    successor = fleet.wait_for_leader()
+    cluster.stop(name, handover=True)
+    successor = cluster.wait_for_leader()
     assert successor.term == term + 1
     successor.propose(b"two", 5.0)
 
 
-def test_a_restart_of_all_after_many_commands_keeps_them_in_order(fleet):
-    leader = fleet.start_all()
+def test_restart_of_all_replicas_keeps_commands_in_order(cluster):
+    leader = cluster.start_all()
     propose_many(leader, 1200)
     kept = list(leader._machine.commands)
-    fleet.stop_all()
-    leader = fleet.start_all()
+    cluster.stop_all()
+    leader = cluster.start_all()
     leader.read_barrier(5.0)
     assert leader._machine.commands == kept
     assert len(kept) == 1200
 
 
-def test_a_follower_long_away_returns_by_snapshot_and_tail(fleet):
-    leader = fleet.start_all()
-    away = next(n for n in NAMES if fleet.groups[n] is not leader)
-    fleet.stop(away)
+def test_follower_far_behind_catches_up_by_snapshot_and_later_entries(cluster):
+    leader = cluster.start_all()
+    lagging = next(n for n in NAMES if cluster.groups[n] is not leader)
+    cluster.stop(lagging)
     for part in range(7):
         propose_many(leader, 100, b"%d-" % part)
-    fleet.start(away)
-    wait_until(lambda: len(fleet.machines[away].commands) == 700)
-    assert fleet.machines[away].commands == leader._machine.commands
-    assert fleet.groups[away].snapshot_index >= 200
+    cluster.start(lagging)
+    wait_until(lambda: len(cluster.machines[lagging].commands) == 700)
+    assert cluster.machines[lagging].commands == leader._machine.commands
+    assert cluster.groups[lagging].snapshot_index >= 200
 
 
-def test_a_lost_disk_is_swapped_in_and_a_second_loss_loses_nothing(fleet):
-    leader = fleet.start_all()
+def test_replacing_two_wiped_replicas_in_turn_loses_no_command(cluster):
+    leader = cluster.start_all()
     propose_many(leader, 50)
-    others = [n for n in NAMES if fleet.groups[n] is not leader]
+    others = [n for n in NAMES if cluster.groups[n] is not leader]
     for lost in others:
-        leader = fleet.wait_for_leader()
+        leader = cluster.wait_for_leader()
         identities = leader.membership.voters
-        fleet.stop(lost)
-        for file in (fleet.folder / lost / "control").iterdir():
+        cluster.stop(lost)
+        for file in (cluster.folder / lost / "control").iterdir():
             file.unlink()
-        fleet.start(lost)
+        cluster.start(lost)
         wait_until(
             lambda before=identities: (
-                len(set(fleet.wait_for_leader().membership.voters) - set(before)) == 1
-                and len(fleet.wait_for_leader().membership.voters) == 3
+                len(set(cluster.wait_for_leader().membership.voters) - set(before)) == 1
+                and len(cluster.wait_for_leader().membership.voters) == 3
             )
         )
-        propose_many(fleet.wait_for_leader(), 10)
-    leader = fleet.wait_for_leader()
+        propose_many(cluster.wait_for_leader(), 10)
+    leader = cluster.wait_for_leader()
     assert len(leader._machine.commands) == 70
     for name in NAMES:
-        wait_until(partial(lambda n: len(fleet.machines[n].commands) == 70, name))
+        wait_until(partial(lambda n: len(cluster.machines[n].commands) == 70, name))
 
 
-def test_two_empty_folders_do_not_form_a_second_group(fleet):
-    leader = fleet.start_all()
+def test_two_wiped_replicas_do_not_form_a_second_group(cluster):
+    leader = cluster.start_all()
     propose_many(leader, 5)
-    fleet.stop_all()
+    cluster.stop_all()
     for name in NAMES[:2]:
-        for file in (fleet.folder / name / "control").iterdir():
+        for file in (cluster.folder / name / "control").iterdir():
             file.unlink()
     for name in NAMES:
-        fleet.start(name)
+        cluster.start(name)
     for name in NAMES[:2]:
-        wait_until(partial(lambda n: fleet.groups[n].membership.members != (), name))
-    assert all(not group.is_leader for group in fleet.groups.values())
-    voters = fleet.groups["c"].membership.voters
-    assert fleet.groups["a"].membership.voters == voters
-    assert fleet.groups["a"]._replica.state.replica not in voters
+        wait_until(partial(lambda n: cluster.groups[n].membership.members != (), name))
+    assert all(not group.is_leader for group in cluster.groups.values())
+    voters = cluster.groups["c"].membership.voters
+    assert cluster.groups["a"].membership.voters == voters
+    assert cluster.groups["a"]._replica.state.replica not in voters
 
 
-def test_a_single_voter_commits_alone_and_returns(tmp_path):
-    fleet = Fleet(tmp_path, names=NAMES[:1])
-    leader = fleet.start_all()
+def test_single_voter_commits_alone_and_recovers_after_restart(tmp_path):
+    cluster = Cluster(tmp_path, names=NAMES[:1])
+    leader = cluster.start_all()
     assert len(propose_many(leader, 100)) == 100
-    fleet.stop_all()
-    leader = fleet.start_all()
+    cluster.stop_all()
+    leader = cluster.start_all()
     leader.read_barrier(5.0)
     assert len(leader._machine.commands) == 100
-    fleet.stop_all()
+    cluster.stop_all()
 
 
-def test_a_group_grows_when_its_settings_name_more_instances(tmp_path):
-    fleet = Fleet(tmp_path, names=NAMES[:1])
-    leader = fleet.start_all()
+def test_group_adds_voters_when_settings_name_more_instances(tmp_path):
+    cluster = Cluster(tmp_path, names=NAMES[:1])
+    leader = cluster.start_all()
     propose_many(leader, 20)
-    fleet.stop_all()
-    fleet.names = NAMES
-    fleet.start_all()
-    wait_until(lambda: len(fleet.wait_for_leader().membership.voters) == 3)
+    cluster.stop_all()
+    cluster.names = NAMES
+    cluster.start_all()
+    wait_until(lambda: len(cluster.wait_for_leader().membership.voters) == 3)
     for name in NAMES:
-        wait_until(partial(lambda n: len(fleet.machines[n].commands) == 20, name))
-    fleet.stop_all()
+        wait_until(partial(lambda n: len(cluster.machines[n].commands) == 20, name))
+    cluster.stop_all()
 
 
-def test_a_replica_that_fails_answers_all_that_waits(fleet, monkeypatch):
-    leader = fleet.start_all()
+def test_failed_replica_ends_all_pending_calls(cluster, monkeypatch):
+    leader = cluster.start_all()
 
     def fail(commands, now):
         raise OSError("broken")
@@ -168,8 +170,8 @@
     assert reading.ready()
 
 
-def test_many_proposals_share_a_write(fleet, monkeypatch):
-    leader = fleet.start_all()
+def test_concurrent_proposals_share_journal_writes(cluster, monkeypatch):
+    leader = cluster.start_all()
     writes = []
     save = leader._journal.save
     monkeypatch.setattr(
@@ -179,7 +181,7 @@
     assert len(writes) < 50
 
 
-def test_a_large_state_is_not_written_for_each_few_changes(tmp_path):
+def test_large_snapshot_is_not_rewritten_after_few_changes(tmp_path):
     class LargeMachine(ListMachine):
         def snapshot(self):
             return super().snapshot() + bytes(100_000)
@@ -187,9 +189,9 @@
         def restore(self, snapshot):
             super().restore(snapshot[:-100_000])
 
-    fleet = Fleet(tmp_path, names=NAMES[:1], snapshot_entries=50)
-    fleet.start(NAMES[0], LargeMachine())
-    leader = fleet.wait_for_leader()
+    cluster = Cluster(tmp_path, names=NAMES[:1], snapshot_entries=50)
+    cluster.start(NAMES[0], LargeMachine())
+    leader = cluster.wait_for_leader()
     propose_many(leader, 60)
     wait_until(lambda: leader.snapshot_index >= 50)
     first = leader.snapshot_index
@@ -197,14 +199,14 @@
     assert leader.snapshot_index == first
     propose_many(leader, 60, b"x" * 2000)
     wait_until(lambda: leader.snapshot_index > first)
-    fleet.stop_all()
+    cluster.stop_all()
 
 
-def test_a_replica_whose_disk_refuses_is_silent_until_it_takes_writes(
-    fleet, monkeypatch
+def test_leader_with_failing_disk_is_replaced_and_rejoins_when_writes_succeed(
+    cluster, monkeypatch
 ):
-    leader = fleet.start_all()
-    others = [group for group in fleet.groups.values() if group is not leader]
+    leader = cluster.start_all()
+    others = [group for group in cluster.groups.values() if group is not leader]
     is_full = True
     save = leader._journal.save
 
@@ -228,13 +230,13 @@
     assert leader.failure is None
     successor.propose(b"four", 5.0)
     wait_until(lambda: leader.applied == successor.applied)
-    machines = list(fleet.machines.values())
+    machines = list(cluster.machines.values())
     wait_until(lambda: machines[0].commands == machines[1].commands)
     assert machines[0].commands[-2:] == [b"three", b"four"]
 
 
-def test_calls_that_hold_every_thread_of_the_hub_do_not_stop_the_log(fleet):
-    leader = fleet.start_all()
+def test_group_commits_while_the_hub_thread_pool_is_exhausted(cluster):
+    leader = cluster.start_all()
     release = ThreadEvent()
     pool = get_hub().threadpool
     held = [pool.spawn(release.wait) for _ in range(pool.maxsize)]
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -51,7 +51,7 @@
     return journal.saved
 
 
-def test_what_was_saved_is_found_again(tmp_path):
+def test_saved_records_are_read_back(tmp_path):
     write_batches(tmp_path, 4)
     saved = read_saved(tmp_path)
     assert saved.replica == "r1"
@@ -60,7 +60,7 @@
     assert saved.entries == build_entries(1, 12).entries
 
 
-def test_later_entries_replace_those_from_their_index_on(tmp_path):
+def test_rewritten_entries_replace_all_from_their_index(tmp_path):
     write_batches(tmp_path, 3)
     journal = open_journal(tmp_path)
     journal.save([HardState(Term(2)), build_entries(5, 6, term=2)])
@@ -71,7 +71,7 @@
     assert saved.hard_state == HardState(Term(2))
 
 
-def test_an_empty_folder_gets_a_new_identity(tmp_path):
+def test_empty_folder_gets_a_new_identity(tmp_path):
     write_batches(tmp_path, 1)
     for file in tmp_path.iterdir():
         file.unlink()
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 7, 40])
-def test_a_torn_tail_is_cut_off_and_writing_goes_on(tmp_path, cut):
+def test_torn_tail_is_truncated_and_writing_continues(tmp_path, cut):
     write_batches(tmp_path, 4)
     log = tmp_path / "log"
     log.write_bytes(log.read_bytes()[:-cut])
@@ -93,14 +93,14 @@
     assert read_saved(tmp_path).entries == build_entries(1, 11).entries
 
 
-def test_garbage_after_the_last_frame_is_cut_off(tmp_path):
+def test_garbage_after_the_last_frame_is_truncated(tmp_path):
     write_batches(tmp_path, 2)
     with (tmp_path / "log").open("ab") as log:
         log.write(b"BWlg" + bytes(5000))
     assert read_saved(tmp_path).entries == build_entries(1, 6).entries
 
 
-def test_damage_in_the_middle_is_an_error(tmp_path):
+def test_damage_before_the_last_frame_is_an_error(tmp_path):
     write_batches(tmp_path, 4)
     log = tmp_path / "log"
     data = bytearray(log.read_bytes())
@@ -110,7 +110,7 @@
         read_saved(tmp_path)
 
 
-def test_a_damaged_snapshot_is_an_error(tmp_path):
+def test_damaged_snapshot_is_an_error(tmp_path):
     journal = open_journal(tmp_path)
     journal.compact(Snapshot(LogIndex(5), Term(1), MEMBERS, b"state"), ())
     journal.close()
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("name", ["snapshot", "log"])
-def test_a_missing_file_is_an_error(tmp_path, name):
+def test_missing_log_or_snapshot_is_an_error(tmp_path, name):
     journal = open_journal(tmp_path)
     journal.save([build_entries(1, 8)])
     snapshot = Snapshot(LogIndex(5), Term(1), MEMBERS, b"state")
@@ -132,7 +132,7 @@
         read_saved(tmp_path)
 
 
-def test_a_snapshot_replaces_the_log_before_it(tmp_path):
+def test_compaction_removes_entries_up_to_the_snapshot(tmp_path):
     write_batches(tmp_path, 10)
     journal = open_journal(tmp_path)
     before = journal.size_bytes
@@ -147,7 +147,7 @@
     assert saved.genesis == GENESIS
 
 
-def test_a_crash_between_snapshot_and_new_log_loses_nothing(tmp_path):
+def test_crash_between_writing_snapshot_and_log_loses_nothing(tmp_path):
     write_batches(tmp_path, 10)
     old_log = (tmp_path / "log").read_bytes()
     journal = open_journal(tmp_path)
@@ -161,7 +161,7 @@
     assert saved.entries == build_entries(29, 30).entries
 
 
-def test_an_installed_snapshot_comes_between_other_records(tmp_path):
+def test_snapshot_saved_between_other_records_is_read_back(tmp_path):
     write_batches(tmp_path, 2)
     journal = open_journal(tmp_path)
     snapshot = Snapshot(LogIndex(50), Term(2), MEMBERS, b"state")
@@ -173,7 +173,7 @@
     assert saved.entries == build_entries(51, 52, term=2).entries
 
 
-def test_a_folder_is_used_once_at_a_time(tmp_path):
+def test_folder_cannot_be_opened_twice_at_once(tmp_path):
     journal = open_journal(tmp_path)
     with pytest.raises(SettingsError):
         open_journal(tmp_path)
@@ -193,7 +193,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(data=st.data())
-def test_a_log_cut_anywhere_yields_the_synced_batches(data):
+def test_log_truncated_anywhere_yields_the_synced_batches(data):
     with TemporaryDirectory() as folder:
         ends = find_frame_ends(folder, 3)
         write_batches(folder, 3)
@@ -211,7 +211,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(data=st.data())
-def test_a_flipped_bit_is_never_taken_for_an_entry(data):
+def test_flipped_bit_is_never_read_as_an_entry(data):
     with TemporaryDirectory() as folder:
         ends = find_frame_ends(folder, 3)
         write_batches(folder, 3)
@@ -227,7 +227,7 @@
             assert read_saved(folder).entries == build_entries(1, 6).entries
 
 
-def test_a_write_that_was_refused_half_way_leaves_no_trace(tmp_path, monkeypatch):
+def test_partial_write_that_fails_is_removed_from_the_log(tmp_path, monkeypatch):
     journal = open_journal(tmp_path)
     journal.save([Binding(GENESIS), build_entries(1, 3)])
     write = journal_module.write_file
--- a/tests/daemon/test_logwriter.py
+++ b/tests/daemon/test_logwriter.py
@@ -4,13 +4,13 @@
 from msgspec import json
 
 from bergamotwood_daemon.logwriter import (
-    MAX_WAITING,
-    MAX_WAITING_ROUTINE,
+    MAX_QUEUED_LINES,
+    MAX_QUEUED_ROUTINE_LINES,
     LogWriter,
 )
 
 
-class SlowReader(BytesIO):
+class BlockedStream(BytesIO):
     """Takes nothing until it is released."""
 
     def __init__(self):
@@ -26,7 +26,7 @@
     return [json.decode(line) for line in stream.getvalue().splitlines()]
 
 
-def test_lines_are_written_in_order_and_the_last_before_the_end():
+def test_lines_are_written_in_order_and_flushed_on_close():
     stream = BytesIO()
     writer = LogWriter(stream)
     writer.start()
@@ -36,20 +36,20 @@
     assert [line["at"] for line in read_lines(stream)] == list(range(100))
 
 
-def test_a_slow_reader_costs_routine_lines_first_and_blocks_nothing():
-    stream = SlowReader()
+def test_slow_reader_drops_routine_lines_first_and_does_not_block():
+    stream = BlockedStream()
     writer = LogWriter(stream)
-    for at in range(MAX_WAITING_ROUTINE + 10):
+    for at in range(MAX_QUEUED_ROUTINE_LINES + 10):
         writer({"message": "request: Answered.", "at": at})
     assert writer.dropped == 10
-    for at in range(MAX_WAITING):
+    for at in range(MAX_QUEUED_LINES):
         writer({"message": "request: Failed.", "at": at})
-    assert writer.dropped == 10 + MAX_WAITING_ROUTINE
+    assert writer.dropped == 10 + MAX_QUEUED_ROUTINE_LINES
     writer.start()
     stream.released.set()
     writer.close()
     lines = read_lines(stream)
     failed = [line for line in lines if line["message"] == "request: Failed."]
-    assert len(failed) == MAX_WAITING - MAX_WAITING_ROUTINE
+    assert len(failed) == MAX_QUEUED_LINES - MAX_QUEUED_ROUTINE_LINES
     dropped = [line for line in lines if line["message"] == "log: Lines dropped."]
     assert sum(line["count"] for line in dropped) == writer.dropped
--- a/tests/daemon/test_peer.py
+++ b/tests/daemon/test_peer.py
@@ -10,7 +10,7 @@
 KEY = "instance-key-of-the-test"
 
 
-class Echo:
+class EchoHandler:
     def handle_poll(self, body):
         return body
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def server():
-    server = PeerServer(Echo(), KEY)
+    server = PeerServer(EchoHandler(), KEY)
     server.port = server.start(Address("127.0.0.1", 0))
     yield server
     server.stop(0.1)
@@ -43,7 +43,7 @@
     channel.close()
 
 
-def test_peer_that_does_not_answer_is_not_dialled_at_once_again(server, monkeypatch):
+def test_peer_that_does_not_answer_is_not_redialled_at_once(server, monkeypatch):
     monkeypatch.setattr(peer, "MIN_REDIAL_SECONDS", 600.0)
     monkeypatch.setattr(peer, "MAX_REDIAL_SECONDS", 600.0)
     server.stop(0.1)
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -67,23 +67,23 @@
         ),
     ],
 )
-def test_fault_is_named_with_key_value_and_what_is_allowed(changes, fault):
+def test_fault_names_the_key_the_value_and_what_is_allowed(changes, fault):
     assert any(fault in item for item in find_faults(**changes))
 
 
-def test_plain_listening_beyond_loopback_can_be_allowed():
+def test_allow_plain_permits_listening_beyond_loopback_without_tls():
     listen = {"host": "10.0.0.1", "port": 8000}
     changed = {**VALID, "listen": listen, "allow_plain": True}
     assert make_settings(changed, "test").listen.host == "10.0.0.1"
 
 
-def test_all_faults_are_named_at_once():
+def test_all_faults_are_reported_at_once():
     faults = find_faults(data_folder=None, listen={"port": -1}, colour=1)
     places = {fault.split(":")[0] for fault in faults}
     assert places == {"data_folder", "listen.port", "colour"}
 
 
-def test_faults_show_no_secret():
+def test_faults_do_not_contain_secrets():
     faults = find_faults(instance_key="short (got x", session_secret=["s3cret"])
     text = "\n".join(faults)
     assert "instance_key" in text
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("content", ["a: 1\na: 2", "[", "- 1", "", "\x00"])
-def test_broken_file_is_refused_with_exit_code_2(tmp_path, content):
+def test_invalid_file_is_rejected_with_exit_code_2(tmp_path, content):
     file = tmp_path / "settings.yaml"
     file.write_text(content)
     result = CliRunner().invoke(main, ["check", str(file)])
@@ -101,7 +101,7 @@
     assert str(file) in result.output
 
 
-def test_check_names_file_and_every_fault(tmp_path):
+def test_check_prints_the_file_and_every_fault(tmp_path):
     file = tmp_path / "settings.yaml"
     file.write_text(yaml.safe_dump({**VALID, "data_folder": None, "colour": 1}))
     result = CliRunner().invoke(main, ["check", str(file)])
@@ -112,7 +112,7 @@
     assert missing.exit_code == 2
 
 
-def test_run_refuses_bad_settings_before_anything_starts(tmp_path):
+def test_run_rejects_invalid_settings_before_it_starts(tmp_path):
     file = tmp_path / "settings.yaml"
     file.write_text("instance: a")
     assert CliRunner().invoke(main, ["run", str(file)]).exit_code == 2
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("fleet", FLEETS)
-def test_example_settings_form_one_fleet(fleet):
+def test_example_settings_form_a_consistent_fleet(fleet):
     files = sorted((EXAMPLES / fleet / "settings").glob("*.yaml"))
     loaded = [load_settings(file) for file in files]
     count, centres = FLEETS[fleet]
@@ -154,7 +154,7 @@
     assert largest >= 256
 
 
-def test_page_lists_every_key_with_its_default():
+def test_settings_page_lists_every_key_with_its_default():
     lines = (ROOT / "docs" / "SETTINGS.md").read_text().splitlines()
     cells = [line.strip("| ").split(" | ") for line in lines if line.startswith("| `")]
     assert {cell[0].strip("`"): cell[1].strip("`") for cell in cells} == dict(
--- a/tests/daemon/test_watch.py
+++ b/tests/daemon/test_watch.py
@@ -11,12 +11,12 @@
 from bergamotwood_core.outcome import OutcomeCounter
 from bergamotwood_core.states import EndpointKind
 from bergamotwood_core.tables import Tables
-from bergamotwood_daemon.feed import MAX_KEPT_CHANGES, ControlFeed
+from bergamotwood_daemon.controlfeed import MAX_KEPT_CHANGES, ControlFeed
 from bergamotwood_daemon.watch import Watch
 from bergamotwood_daemon.wire import ENCODER, POLL_REQUEST, PollReply
 
 
-class Clock:
+class FakeClock:
     def __init__(self):
         self.now = Seconds(100.0)
 
@@ -35,7 +35,7 @@
         self.feed = ControlFeed(ControlMachine())
         self.age = 0.1
         self.delay = 0.0
-        self.cut = False
+        self.is_unreachable = False
         self.requests = []
 
     def commit(self, count):
@@ -46,7 +46,7 @@
             self.feed.apply(index, encode_command(ApplyTicket(ticket)))
 
     def call(self, method, body, timeout_seconds):
-        if self.cut:
+        if self.is_unreachable:
             raise ReplicationError("silent")
         request = POLL_REQUEST.decode(body)
         self.requests.append(request)
@@ -83,7 +83,7 @@
 
 @pytest.fixture
 def clock():
-    return Clock()
+    return FakeClock()
 
 
 def test_age_is_unknown_before_the_first_answer(clock):
@@ -91,7 +91,7 @@
     assert watch.measure_age(clock()) == float("inf")
 
 
-def test_age_counts_from_when_the_poll_was_sent(clock):
+def test_age_is_measured_from_the_time_the_poll_was_sent(clock):
     replica = FakeReplica(clock)
     replica.delay = 30.0
     watch = make_watch(clock, {"r": replica})
@@ -99,17 +99,17 @@
     assert watch.measure_age(clock()) == pytest.approx(30.1)
 
 
-def test_age_rises_while_every_replica_is_silent(clock):
+def test_age_rises_while_no_replica_answers(clock):
     replica = FakeReplica(clock)
     watch = make_watch(clock, {"r": replica})
     watch.report_now()
-    replica.cut = True
+    replica.is_unreachable = True
     clock.pass_time(6.0)
     assert not watch.report_now()
     assert watch.measure_age(clock()) == pytest.approx(6.1)
 
 
-def test_isolated_replica_does_not_make_the_configuration_young(clock):
+def test_answer_of_an_isolated_replica_does_not_lower_the_age(clock):
     replica = FakeReplica(clock)
     replica.age = 40.0
     watch = make_watch(clock, {"r": replica})
@@ -117,13 +117,13 @@
     assert watch.measure_age(clock()) == pytest.approx(40.0)
 
 
-def test_replica_that_lags_neither_reverts_nor_confirms(clock):
+def test_lagging_replica_neither_reverts_nor_confirms_the_configuration(clock):
     newer, older = FakeReplica(clock), FakeReplica(clock)
     newer.commit(20)
     older.commit(5)
     watch = make_watch(clock, {"new": newer, "old": older})
     watch.report_now()
-    newer.cut = True
+    newer.is_unreachable = True
     clock.pass_time(3.0)
     watch.report_now()
     assert watch.machine.tables.ticket == 20
@@ -143,14 +143,14 @@
     assert watch.machine.snapshot() == replica.feed.machine.snapshot()
 
 
-def test_report_that_failed_is_sent_again(clock):
+def test_announcement_of_a_failed_report_is_sent_again(clock):
     replica = FakeReplica(clock)
-    replica.cut = True
+    replica.is_unreachable = True
     watch = make_watch(clock, {"r": replica})
     announcement = make_announcement()
-    watch.offer(announcement, urgent=True)
+    watch.queue_announcement(announcement, urgent=True)
     watch.report_now()
-    replica.cut = False
+    replica.is_unreachable = False
     watch.report_now()
     assert replica.requests[-1].announcements == (announcement,)
 
