--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -11,10 +11,10 @@
 from bergamotwood_core.gateway.endpoints import EndpointBeat
 from bergamotwood_core.gateway.health import Result
 from bergamotwood_daemon.gateway.client import (
-    BrokenError,
+    ConnectionBrokenError,
     EndpointConnection,
     NotConnectedError,
-    SilentError,
+    ResponseTimeoutError,
 )
 from bergamotwood_daemon.gateway.entry import GatewayEntry
 from bergamotwood_daemon.gateway.message import (
@@ -23,15 +23,15 @@
     strip_connection_fields,
 )
 
-MISDIRECTED = 421
+MISDIRECTED_REQUEST = 421
 # Time without an answer, in objectives, after which a request that may be
 # repeated is tried at another endpoint.
-SILENT_OBJECTIVES = 1.5
-LEAST_SILENCE_SECONDS = 0.4
+HEAD_TIMEOUT_OBJECTIVES = 1.5
+MIN_HEAD_TIMEOUT_SECONDS = 0.4
 # Time between two questions whether an endpoint that is waited for has gone dark.
-DARK_CHECK_SECONDS = 0.5
+SILENCE_CHECK_SECONDS = 0.5
 # Longest answer that is kept until it is complete.
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unclear:
+class MayHaveRun:
     """The endpoint may have run the request."""
 
     reason: str
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class Discarded:
     """The answer is not wanted; another model is to answer."""
 
     reason: str
@@ -84,7 +84,7 @@
     result: Result = Result.OK
 
 
-Outcome = Answered | NotRun | Unclear | Dropped | Delivered
+Outcome = Answered | NotRun | MayHaveRun | Discarded | Delivered
 
 
 class Attempt:
@@ -100,7 +100,7 @@
         As the caller sent it.
     beat : EndpointBeat
         The endpoint.
-    write_terms : callable
+    make_terms : callable
         Returns what to say to the endpoint, just before it is sent; raises
         when the request may not be sent any more.
     """
@@ -111,7 +111,7 @@
         call: Call,
         request: HttpRequest,
         beat: EndpointBeat,
-        write_terms: Callable[[Call, "Attempt"], ForwardTerms],
+        make_terms: Callable[[Call, "Attempt"], ForwardTerms],
     ) -> None:
         self.beat = beat
         self.started_at = entry.clock()
@@ -119,18 +119,18 @@
         self._entry = entry
         self._call = call
         self._request = request
-        self._write_terms = write_terms
+        self._make_terms = make_terms
         self._connection: EndpointConnection | None = None
 
     def fetch(self) -> Outcome:
         """Return the whole answer, or why there is none."""
-        head = self.begin()
+        head = self.send_request()
         if not isinstance(head, h11.Response):
             return head
-        return self.collect(head, self._time_left)
+        return self.read_body(head, self._compute_time_left)
 
-    def collect(
-        self, head: h11.Response, measure_patience: Callable[[], float]
+    def read_body(
+        self, head: h11.Response, compute_timeout: Callable[[], float]
     ) -> Outcome:
         """Return the whole answer that a head begins.
 
@@ -138,49 +138,49 @@
         ----------
         head : h11.Response
             Its head.
-        measure_patience : callable
+        compute_timeout : callable
             Returns the longest wait for the next piece, in seconds.
         """
         pieces = []
         size = 0
         try:
             while True:
-                event = self.receive(measure_patience())
+                event = self.receive(compute_timeout())
                 if isinstance(event, h11.EndOfMessage):
                     break
                 pieces.append(bytes(event.data))
                 size += len(event.data)
-                if size > MAX_ANSWER_BYTES:
-                    return Unclear("answer too large", Result.BROKEN)
-        except BrokenError as error:
-            return Unclear(str(error), Result.BROKEN)
-        except SilentError as error:
-            return Unclear(str(error), Result.SILENT)
-        self.keep_connection()
+                if size > MAX_RESPONSE_BYTES:
+                    return MayHaveRun("answer too large", Result.BROKEN)
+        except ConnectionBrokenError as error:
+            return MayHaveRun(str(error), Result.BROKEN)
+        except ResponseTimeoutError as error:
+            return MayHaveRun(str(error), Result.SILENT)
+        self.release_connection()
         headers = strip_connection_fields(list(head.headers))
         return Answered(HttpResponse(head.status_code, headers, b"".join(pieces)))
 
-    def begin(self) -> h11.Response | Outcome:
+    def send_request(self) -> h11.Response | Outcome:
         """Send the request and return the response's head, if it is sound."""
         try:
             self._send()
         except NotConnectedError as error:
             return NotRun(str(error), Result.UNREACHABLE, was_sent=False)
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             self._call.runs += 1
-            return Unclear(str(error), Result.BROKEN)
+            return MayHaveRun(str(error), Result.BROKEN)
         try:
             head = self._receive_head()
             while isinstance(head, h11.InformationalResponse):
                 head = self._receive_head()
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             self._call.runs += 1
-            return Unclear(str(error), Result.BROKEN)
-        except SilentError as error:
+            return MayHaveRun(str(error), Result.BROKEN)
+        except ResponseTimeoutError as error:
             self._call.runs += 1
-            return Unclear(str(error), Result.SILENT)
+            return MayHaveRun(str(error), Result.SILENT)
         self.head_at = self._entry.clock()
-        return self._check(head)
+        return self._check_head(head)
 
     def receive(self, seconds: float) -> h11.Event:
         """Return the next event of the response."""
@@ -190,9 +190,9 @@
         )
         return event
 
-    def keep_connection(self) -> None:
+    def release_connection(self) -> None:
         """Keep the connection for another request."""
-        self._entry.pool.give_back(self._connection)
+        self._entry.pool.release(self._connection)
         self._connection = None
 
     def close(self) -> None:
@@ -203,9 +203,9 @@
 
     def _send(self) -> None:
         request = self._request
-        fresh = not self._call.route.is_repeatable
-        self._connection = self._entry.pool.take(self.beat.address, fresh)
-        terms = self._write_terms(self._call, self)
+        must_be_new = not self._call.route.is_repeatable
+        self._connection = self._entry.pool.acquire(self.beat.address, must_be_new)
+        terms = self._make_terms(self._call, self)
         headers = self._entry.dialect.write_forward(
             strip_connection_fields(request.headers), terms
         )
@@ -215,50 +215,50 @@
 
     def _receive_head(self) -> h11.Event:
         """Return the head, or give up early at an endpoint that has gone dark."""
-        limit = self._entry.clock() + self._measure_patience()
+        limit = self._entry.clock() + self._compute_head_timeout()
         while True:
             now = self._entry.clock()
             try:
-                return self.receive(min(limit - now, DARK_CHECK_SECONDS))
-            except SilentError:
+                return self.receive(min(limit - now, SILENCE_CHECK_SECONDS))
+            except ResponseTimeoutError:
                 now = self._entry.clock()
-                if now >= limit or self._should_leave(now):
+                if now >= limit or self._should_abandon(now):
                     raise
 
-    def _should_leave(self, now: Seconds) -> bool:
+    def _should_abandon(self, now: Seconds) -> bool:
         route = self._call.route
         if not route.is_repeatable or self._call.runs + 1 >= route.max_attempts:
             return False
-        if now - self.started_at < DARK_CHECK_SECONDS:
+        if now - self.started_at < SILENCE_CHECK_SECONDS:
             return False
         return self._entry.placement.is_dark(self.beat, now)
 
-    def _check(self, head: h11.Response) -> h11.Response | Outcome:
+    def _check_head(self, head: h11.Response) -> h11.Response | Outcome:
         terms = self._entry.dialect.read_answer(list(head.headers))
-        if terms.is_not_run or head.status_code == MISDIRECTED:
+        if terms.is_not_run or head.status_code == MISDIRECTED_REQUEST:
             self.close()
             result = Result.FULL
-            if head.status_code == MISDIRECTED:
+            if head.status_code == MISDIRECTED_REQUEST:
                 result = Result.REPLACED
             return NotRun(f"refused with {head.status_code}", result, was_sent=True)
         self._call.runs += 1
         if not terms.is_signed or terms.request != self._call.terms.request:
-            return Unclear("response of another request", Result.BROKEN)
+            return MayHaveRun("response of another request", Result.BROKEN)
         if any(name == b"content-encoding" for name, _ in head.headers):
-            return Unclear("response with an encoding", Result.BROKEN)
+            return MayHaveRun("response with an encoding", Result.BROKEN)
         return head
 
-    def _measure_patience(self) -> float:
+    def _compute_head_timeout(self) -> float:
         """Return how long to wait for the response to begin."""
         route = self._call.route
-        left = self._time_left()
-        last = self._call.runs + 1 >= route.max_attempts
-        if last or not route.is_repeatable or route.kind is RouteKind.STREAMING:
+        left = self._compute_time_left()
+        is_last = self._call.runs + 1 >= route.max_attempts
+        if is_last or not route.is_repeatable or route.kind is RouteKind.STREAMING:
             return left
-        silence = max(
-            SILENT_OBJECTIVES * route.objective_seconds, LEAST_SILENCE_SECONDS
+        timeout = max(
+            HEAD_TIMEOUT_OBJECTIVES * route.objective_seconds, MIN_HEAD_TIMEOUT_SECONDS
         )
-        return min(silence, left)
+        return min(timeout, left)
 
-    def _time_left(self) -> float:
+    def _compute_time_left(self) -> float:
         return self._call.deadline - self._entry.clock()
--- a/packages/daemon/src/bergamotwood_daemon/gateway/client.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/client.py
@@ -18,17 +18,17 @@
 READ_BYTES = 65_536
 # A connection within a region opens within a few milliseconds; a lost opening
 # packet is sent again by the kernel only after a second.
-CONNECT_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.6
 # Idle time up to which a connection is used again when the endpoint names none.
 # Shorter than the 5 s that servers commonly use.
-IDLE_SECONDS = 3.0
+MAX_IDLE_SECONDS = 3.0
 # Part of an endpoint's own idle time-out up to which a connection is used again.
-IDLE_PART = 0.6
+IDLE_TIMEOUT_FRACTION = 0.6
 # Idle connections kept for each endpoint.
-MAX_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 # Larger requests are sent beside reading: an endpoint may answer before it has
 # read them, and the windows of a connection hold about this much.
-SEND_AT_ONCE_BYTES = 16_384
+MAX_INLINE_SEND_BYTES = 16_384
 MAX_HEAD_BYTES = 65_536
 
 
@@ -36,11 +36,11 @@
     """The endpoint took no connection; nothing was sent."""
 
 
-class BrokenError(Exception):
+class ConnectionBrokenError(Exception):
     """The connection broke, or what came is no response."""
 
 
-class SilentError(Exception):
+class ResponseTimeoutError(Exception):
     """Nothing came in time."""
 
 
@@ -64,7 +64,7 @@
         )
         self._sender: Greenlet | None = None
         self._sock = Socket(AF_INET, SOCK_STREAM)
-        self._idle_seconds = IDLE_SECONDS
+        self._idle_seconds = MAX_IDLE_SECONDS
 
     def open(self) -> None:
         """Connect.
@@ -74,7 +74,7 @@
         NotConnectedError
             When it cannot in time.
         """
-        self._sock.settimeout(CONNECT_SECONDS)
+        self._sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         try:
             address = parse_address(self.address)
             self._sock.connect((address.host, address.port))
@@ -84,7 +84,7 @@
             raise NotConnectedError(f"{self.address}: {error}") from error
 
     @property
-    def is_quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         """Whether nothing, also no end, has come while it was idle."""
         return not is_readable(self._sock)
 
@@ -93,7 +93,7 @@
 
         Raises
         ------
-        BrokenError
+        ConnectionBrokenError
             When the connection breaks; the endpoint may have read the request.
         """
         head = h11.Request(method=method, target=target, headers=headers)
@@ -101,20 +101,20 @@
         if body:
             data += self._http.send(h11.Data(body))
         data += self._http.send(h11.EndOfMessage())
-        if len(data) > SEND_AT_ONCE_BYTES:
+        if len(data) > MAX_INLINE_SEND_BYTES:
             self._sender = spawn(self._send_all, data)
             return
         try:
             self._sock.sendall(data)
         except OSError as error:
-            raise BrokenError(f"{self.address}: {error}") from error
+            raise ConnectionBrokenError(f"{self.address}: {error}") from error
 
     def receive(self, seconds: float) -> h11.Event:
         """Return the next event of the response.
 
         Raises
         ------
-        BrokenError, SilentError
+        ConnectionBrokenError, ResponseTimeoutError
             When there is none.
         """
         limit = self._clock() + seconds
@@ -122,15 +122,15 @@
             while True:
                 event = self._http.next_event()
                 if event is not h11.NEED_DATA:
-                    return self._check(event)
+                    return self._check_event(event)
                 self._sock.settimeout(max(limit - self._clock(), 0.001))
                 self._http.receive_data(self._sock.recv(READ_BYTES))
         except TimeoutError as error:
-            raise SilentError(
+            raise ResponseTimeoutError(
                 f"{self.address}: nothing within {seconds:.3f} s"
             ) from error
         except (OSError, h11.RemoteProtocolError) as error:
-            raise BrokenError(f"{self.address}: {error}") from error
+            raise ConnectionBrokenError(f"{self.address}: {error}") from error
 
     def finish(self) -> bool:
         """End an exchange; return whether the connection can be used again."""
@@ -155,22 +155,26 @@
         with suppress(OSError):
             self._sock.sendall(data)
 
-    def _check(self, event: h11.Event) -> h11.Event:
+    def _check_event(self, event: h11.Event) -> h11.Event:
         match event:
             case h11.ConnectionClosed() | h11.PAUSED:
-                raise BrokenError(f"{self.address}: closed without a response")
+                raise ConnectionBrokenError(
+                    f"{self.address}: closed without a response"
+                )
             case h11.Response():
-                self._note_keep_alive(event)
+                self._read_keep_alive(event)
         return event
 
-    def _note_keep_alive(self, response: h11.Response) -> None:
+    def _read_keep_alive(self, response: h11.Response) -> None:
         for name, value in response.headers:
             if name != b"keep-alive":
                 continue
             for part in value.split(b","):
                 key, _, number = part.strip().partition(b"=")
                 if key == b"timeout" and number.isdigit():
-                    self._idle_seconds = min(IDLE_SECONDS, IDLE_PART * int(number))
+                    self._idle_seconds = min(
+                        MAX_IDLE_SECONDS, IDLE_TIMEOUT_FRACTION * int(number)
+                    )
 
 
 class ConnectionPool:
@@ -181,14 +185,14 @@
         self._idle: dict[str, deque[EndpointConnection]] = {}
         self.opened = 0
 
-    def take(self, address: str, fresh: bool) -> EndpointConnection:
+    def acquire(self, address: str, must_be_new: bool) -> EndpointConnection:
         """Return an open connection.
 
         Parameters
         ----------
         address : str
             The endpoint.
-        fresh : bool
+        must_be_new : bool
             Whether it must be a new one: a request that is lost on a stale
             connection could not be repeated.
 
@@ -198,9 +202,9 @@
             When the endpoint takes none.
         """
         idle = self._idle.get(address)
-        while idle and not fresh:
+        while idle and not must_be_new:
             connection = idle.pop()
-            if connection.idle_until > self._clock() and connection.is_quiet:
+            if connection.idle_until > self._clock() and connection.has_no_input:
                 return connection
             connection.close()
         connection = EndpointConnection(address, self._clock)
@@ -208,14 +212,14 @@
         self.opened += 1
         return connection
 
-    def give_back(self, connection: EndpointConnection) -> None:
+    def release(self, connection: EndpointConnection) -> None:
         """Keep a connection whose exchange is over, if it can be used again."""
         if not connection.finish():
             connection.close()
             return
         idle = self._idle.setdefault(connection.address, deque())
         idle.append(connection)
-        if len(idle) > MAX_IDLE:
+        if len(idle) > MAX_IDLE_CONNECTIONS:
             idle.popleft().close()
 
     def expire(self) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/watch.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/controlpoller.py
@@ -9,9 +9,9 @@
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.errors import ReplicationError
 from bergamotwood_core.ids import InstanceId
-from bergamotwood_daemon.gateway.belief import Belief
 from bergamotwood_daemon.gateway.channels import PeerChannels
-from bergamotwood_daemon.gateway.peering import (
+from bergamotwood_daemon.gateway.controlstate import ControlState
+from bergamotwood_daemon.gateway.peermessages import (
     ENCODER,
     SYNC_REPLY,
     EntryStatus,
@@ -23,27 +23,27 @@
 
 # How long a replica may wait for news: a third of the time after which an
 # entry that does not report counts as gone.
-HOLD_SECONDS = 0.4
+LONG_POLL_SECONDS = 0.4
 # More than the hold and a way there and back; short enough to try three
 # replicas within the lease on keys.
-CALL_SECONDS = 0.9
+CALL_TIMEOUT_SECONDS = 0.9
 # Age from which a replica is cut off from the others, or they have no leader.
-STALE_SECONDS = 0.9
-RETRY_SECONDS = 0.1
+MAX_STATE_AGE_SECONDS = 0.9
+RETRY_DELAY_SECONDS = 0.1
 
 
-class ControlWatch:
+class ControlPoller:
     """Asks a control replica for news, and another one when it fails.
 
     Parameters
     ----------
-    belief : Belief
+    control_state : ControlState
         Takes the answers.
-    describe : callable
+    make_status : callable
         Returns the entry's status.
     seeds : callable
         Returns the replicas named in the settings.
-    on_news : callable
+    on_update : callable
         Called when the belief has taken an answer.
     clock : callable
         Gives the time.
@@ -53,23 +53,23 @@
 
     def __init__(
         self,
-        belief: Belief,
-        describe: Callable[[], EntryStatus],
+        control_state: ControlState,
+        make_status: Callable[[], EntryStatus],
         seeds: Callable[[], tuple[InstanceId, ...]],
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
         clock: Callable[[], Seconds],
         rng: Random,
     ) -> None:
-        self._belief = belief
-        self._describe = describe
+        self._control_state = control_state
+        self._make_status = make_status
         self._seeds = seeds
-        self._on_news = on_news
+        self._on_update = on_update
         self._clock = clock
         self._rng = rng
         self._channels = PeerChannels()
         self._replica: InstanceId | None = None
         self._failed: set[InstanceId] = set()
-        self._is_lost = False
+        self._is_disconnected = False
         self._greenlet: Greenlet | None = None
 
     def start(self) -> None:
@@ -83,7 +83,7 @@
 
     def report_now(self) -> None:
         """Report to every known replica at once, without taking the answers."""
-        status = self._describe()
+        status = self._make_status()
         for replica in self._list_replicas():
             spawn(self._report, replica, status)
 
@@ -91,61 +91,61 @@
         while True:
             if self._replica is None:
                 self._replica = self._choose_replica()
-            if not self._ask(self._replica):
+            if not self._poll(self._replica):
                 self._failed.add(self._replica)
                 self._replica = None
-                sleep(RETRY_SECONDS * self._rng.uniform(0.5, 1.0))
+                sleep(RETRY_DELAY_SECONDS * self._rng.uniform(0.5, 1.0))
 
-    def _ask(self, replica: InstanceId) -> bool:
-        asked_at = self._clock()
+    def _poll(self, replica: InstanceId) -> bool:
+        requested_at = self._clock()
         try:
-            reply = self._call(replica, HOLD_SECONDS)
+            reply = self._call(replica, LONG_POLL_SECONDS)
         except (ReplicationError, MsgspecError) as error:
-            self._note_lost(replica, str(error))
+            self._handle_failure(replica, str(error))
             return False
-        self._belief.take(reply, asked_at)
-        self._on_news()
-        if reply.age_seconds > STALE_SECONDS:
-            self._note_lost(replica, f"its state is {reply.age_seconds:.1f} s old")
+        self._control_state.update(reply, requested_at)
+        self._on_update()
+        if reply.age_seconds > MAX_STATE_AGE_SECONDS:
+            self._handle_failure(replica, f"its state is {reply.age_seconds:.1f} s old")
             return False
-        self._note_found(replica)
+        self._handle_success(replica)
         return True
 
     def _call(self, replica: InstanceId, hold_seconds: float) -> SyncReply:
-        belief = self._belief
+        state = self._control_state
         request = SyncRequest(
-            self._describe(), belief.number, belief.boot, belief.version, hold_seconds
+            self._make_status(), state.number, state.boot, state.version, hold_seconds
         )
         body = ENCODER.encode(request)
         return SYNC_REPLY.decode(
-            self._channels.get(replica).call(POLL, body, CALL_SECONDS)
+            self._channels.get(replica).call(POLL, body, CALL_TIMEOUT_SECONDS)
         )
 
     def _report(self, replica: InstanceId, status: EntryStatus) -> None:
         body = ENCODER.encode(SyncRequest(status, -1, "", -1, 0.0))
         try:
-            self._channels.get(replica).call(POLL, body, CALL_SECONDS)
+            self._channels.get(replica).call(POLL, body, CALL_TIMEOUT_SECONDS)
         except ReplicationError as error:
             log_event("entry", "Report lost.", replica=replica, reason=error.detail)
 
     def _choose_replica(self) -> InstanceId:
         known = self._list_replicas()
-        fresh = [replica for replica in known if replica not in self._failed]
-        if not fresh:
+        candidates = [replica for replica in known if replica not in self._failed]
+        if not candidates:
             self._failed.clear()
-            fresh = known
-        return self._rng.choice(fresh)
+            candidates = known
+        return self._rng.choice(candidates)
 
     def _list_replicas(self) -> list[InstanceId]:
-        return sorted({*self._belief.replicas, *self._seeds()})
+        return sorted({*self._control_state.replicas, *self._seeds()})
 
-    def _note_lost(self, replica: InstanceId, reason: str) -> None:
-        if not self._is_lost:
-            self._is_lost = True
+    def _handle_failure(self, replica: InstanceId, reason: str) -> None:
+        if not self._is_disconnected:
+            self._is_disconnected = True
             log_event("entry", "Control lost.", replica=replica, reason=reason)
 
-    def _note_found(self, replica: InstanceId) -> None:
+    def _handle_success(self, replica: InstanceId) -> None:
         self._failed.clear()
-        if self._is_lost:
-            self._is_lost = False
+        if self._is_disconnected:
+            self._is_disconnected = False
             log_event("entry", "Control regained.", replica=replica)
--- a/packages/daemon/src/bergamotwood_daemon/gateway/belief.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
@@ -14,16 +14,16 @@
 from bergamotwood_core.gateway.suspects import Crash, Success
 from bergamotwood_core.ids import EndpointId, InstanceId, ServiceName, SessionId
 from bergamotwood_daemon.gateway.dialect import Dialect
-from bergamotwood_daemon.gateway.peering import EntryAddress, SyncReply
+from bergamotwood_daemon.gateway.peermessages import EntryAddress, SyncReply
 from bergamotwood_daemon.log import log_event
 
 # Time after which a caller finds an entry that knows the configuration: when all
 # processes have started anew, the control group needs an election first.
-STALE_RETRY_SECONDS = 1.3
-NO_LIMITS = CallerLimits()
+STALE_CONFIG_RETRY_SECONDS = 1.3
+DEFAULT_LIMITS = CallerLimits()
 
 
-class Belief:
+class ControlState:
     """What an entry knows from the control group.
 
     Parameters
@@ -57,7 +57,7 @@
         self.confirmed_at = Seconds(float("-inf"))
         self._dialect = dialect
         self._clock = clock
-        self._key_lease = key_lease_seconds
+        self._key_lease_seconds = key_lease_seconds
 
     @property
     def number(self) -> int:
@@ -72,7 +72,7 @@
     @property
     def limits(self) -> CallerLimits:
         """Limits on callers."""
-        return self.routing.configuration.limits if self.routing else NO_LIMITS
+        return self.routing.configuration.limits if self.routing else DEFAULT_LIMITS
 
     def require_routing(self) -> RoutingTable:
         """Return the routing table.
@@ -86,7 +86,7 @@
             raise RefusedError(
                 "no configuration yet",
                 Code.CONFIG_STALE,
-                retry_after=STALE_RETRY_SECONDS,
+                retry_after=STALE_CONFIG_RETRY_SECONDS,
             )
         return self.routing
 
@@ -99,20 +99,20 @@
             When the belief is too old.
         """
         age = self.age
-        if age > self._key_lease:
+        if age > self._key_lease_seconds:
             raise RefusedError(
                 f"keys were last confirmed {age:.1f} s ago",
                 Code.CONFIG_STALE,
-                retry_after=STALE_RETRY_SECONDS,
+                retry_after=STALE_CONFIG_RETRY_SECONDS,
             )
 
-    def take(self, reply: SyncReply, asked_at: Seconds) -> None:
+    def update(self, reply: SyncReply, requested_at: Seconds) -> None:
         """Take in an answer to a question asked at a time.
 
         An older configuration never replaces a newer one.
         """
         if reply.document is not None and reply.number > self.number:
-            self._take_document(reply.document)
+            self._load_document(reply.document)
         if reply.beats is not None:
             self.beats = {beat.endpoint: beat for beat in reply.beats}
         self.boot = reply.boot
@@ -122,18 +122,18 @@
         self.loads = reply.loads
         self.crashes = reply.crashes
         self.successes = reply.successes
-        self._take_rollouts(reply)
+        self._update_rollouts(reply)
         self.replicas = reply.replicas
         self.silent = frozenset(reply.silent)
         if reply.number == self.number:
-            confirmed_at = Seconds(asked_at - reply.age_seconds)
+            confirmed_at = Seconds(requested_at - reply.age_seconds)
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
-    def _take_rollouts(self, reply: SyncReply) -> None:
+    def _update_rollouts(self, reply: SyncReply) -> None:
         for view in reply.rollouts:
             service = view.rollout.service
-            held = self.rollouts.get(service)
-            if held is None or held.rollout != view.rollout:
+            previous = self.rollouts.get(service)
+            if previous is None or previous.rollout != view.rollout:
                 log_event(
                     "entry",
                     "Roll-out changed.",
@@ -142,15 +142,15 @@
                     outcome=view.rollout.outcome,
                     elapsed=round(view.elapsed_seconds, 2),
                 )
-            elif view.share < held.share:
+            elif view.share < previous.share:
                 # Sessions never go back while a roll-out is in progress.
-                view = RolloutView(view.rollout, view.elapsed_seconds, held.share)
+                view = RolloutView(view.rollout, view.elapsed_seconds, previous.share)
             self.rollouts[service] = view
         self.open_sessions = frozenset(reply.open_sessions)
 
-    def _take_document(self, document: bytes) -> None:
+    def _load_document(self, document: bytes) -> None:
         try:
-            configuration = self._read(document)
+            configuration = self._decode_document(document)
         except (RequestError, ZlibError) as error:
             # The replica checked it: this is a fault of the program. The
             # belief grows old, and keyed requests are refused in time.
@@ -166,5 +166,5 @@
             routes=len(configuration.routes),
         )
 
-    def _read(self, document: bytes) -> GatewayConfiguration:
+    def _decode_document(self, document: bytes) -> GatewayConfiguration:
         return self._dialect.decode_configuration(unpack_document(document))
--- a/packages/daemon/src/bergamotwood_daemon/gateway/counters.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/counters.py
@@ -16,21 +16,21 @@
         self._buckets: dict[str, list[int]] = {}
         self._sums: dict[str, float] = {}
 
-    def note_request(
+    def count_request(
         self, call: Call | None, exchange: Exchange, seconds: float
     ) -> None:
         """Count a request by kind of route and status."""
         kind = call.route.kind.value if call else "none"
         status = exchange.status if exchange.is_finished else "broken"
-        self._count("requests_total", f'kind="{kind}",status="{status}"')
+        self._increment("requests_total", f'kind="{kind}",status="{status}"')
         buckets = self._buckets.setdefault(kind, [0] * (len(BUCKET_SECONDS) + 1))
-        at = sum(seconds > bound for bound in BUCKET_SECONDS)
-        buckets[at] += 1
+        index = sum(seconds > bound for bound in BUCKET_SECONDS)
+        buckets[index] += 1
         self._sums[kind] = self._sums.get(kind, 0.0) + seconds
 
-    def note_attempt(self, call: Call, result: Result) -> None:
+    def count_attempt(self, call: Call, result: Result) -> None:
         """Count an attempt by service and result."""
-        self._count("attempts_total", f'service="{call.service}",result="{result}"')
+        self._increment("attempts_total", f'service="{call.service}",result="{result}"')
 
     def render(self, gauges: dict[str, float]) -> str:
         """Return everything in the text format of Prometheus."""
@@ -52,7 +52,7 @@
         lines.append(f'{name}_count{{kind="{kind}"}} {total}')
         return lines
 
-    def _count(self, name: str, labels: str) -> None:
+    def _increment(self, name: str, labels: str) -> None:
         self._counts[name, labels] = self._counts.get((name, labels), 0) + 1
 
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/daemon.py
@@ -22,13 +22,13 @@
 from bergamotwood_daemon.peer import PeerServer
 
 NANOSECONDS_PER_MICROSECOND = 1_000
-MAINTAIN_SECONDS = 1.0
+MAINTENANCE_INTERVAL_SECONDS = 1.0
 # Callers keep a list of entries up to three times its time to live.
-LEAVE_LIVES = 3.0
+DRAIN_TTLS = 3.0
 # Time kept at the end of the grace period for closing; leadership is handed
 # over within a few heartbeats.
-END_SECONDS = 0.5
-POLL_SECONDS = 0.05
+SHUTDOWN_RESERVE_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.05
 
 
 class GatewayDaemon:
@@ -50,8 +50,8 @@
         self._stopped = Event()
         self._is_stopping = False
         self._servers: list[HttpServer] = []
-        self._callers: HttpServer | None = None
-        self._peers: PeerServer | None = None
+        self._caller_server: HttpServer | None = None
+        self._peer_server: PeerServer | None = None
         if settings.callers is not None:
             self._make_entry(dialect)
         if settings.control is not None:
@@ -67,13 +67,13 @@
         """Listen and take part in the fleet."""
         if self.replica is not None:
             peer = parse_address(self.settings.instance)
-            self._peers = PeerServer(self.replica, NO_KEY)
-            self._peers.start(peer)
+            self._peer_server = PeerServer(self.replica, NO_KEY)
+            self._peer_server.start(peer)
             self.replica.start()
         if self.entry is not None:
-            self.entry.watch.start()
+            self.entry.poller.start()
             spawn(self._maintain)
-            self._callers.start()
+            self._caller_server.start()
         for server in self._servers:
             server.start()
         log_event(
@@ -98,7 +98,7 @@
             return
         self._is_stopping = True
         log_event("daemon", "Stopping.")
-        spawn(self._finish)
+        spawn(self._shut_down)
 
     def wait(self) -> None:
         """Wait until a graceful stop has ended."""
@@ -110,10 +110,10 @@
             self.settings, dialect, read_clock, self.rng, incarnation
         )
         forwarder = Forwarder(self.entry)
-        self._callers = HttpServer(
+        self._caller_server = HttpServer(
             self.settings.callers,
             forwarder.handle,
-            lambda: self.entry.belief.limits,
+            lambda: self.entry.control_state.limits,
             read_clock,
         )
 
@@ -123,32 +123,34 @@
 
     def _maintain(self) -> None:
         while True:
-            sleep(MAINTAIN_SECONDS)
+            sleep(MAINTENANCE_INTERVAL_SECONDS)
             self.entry.maintain()
 
-    def _finish(self) -> None:
-        limit = read_clock() + self.settings.bounds.grace_seconds - END_SECONDS
+    def _shut_down(self) -> None:
+        limit = (
+            read_clock() + self.settings.bounds.grace_seconds - SHUTDOWN_RESERVE_SECONDS
+        )
         if self.entry is not None:
-            self._lead_callers_away(limit)
+            self._drain_callers(limit)
         if self.replica is not None:
             # A disk that hangs must not hold up the end of the process.
-            with Timeout(END_SECONDS, False):
+            with Timeout(SHUTDOWN_RESERVE_SECONDS, False):
                 self.replica.stop()
         log_event("daemon", "Stopped.")
         self._stopped.set()
 
-    def _lead_callers_away(self, limit: float) -> None:
+    def _drain_callers(self, limit: float) -> None:
         """Serve on while callers keep old answers, then finish what runs."""
-        self.entry.is_leaving = True
-        self.entry.watch.report_now()
-        self._callers.is_closing = True
-        sleep(LEAVE_LIVES * self.settings.bounds.address_seconds)
-        self.entry.is_closed = True
-        self._callers.stop_listening()
-        self._callers.close_idle()
-        self._wait_until(lambda: not self._callers.busy, limit)
-        self.entry.watch.stop()
+        self.entry.is_draining = True
+        self.entry.poller.report_now()
+        self._caller_server.is_closing = True
+        sleep(DRAIN_TTLS * self.settings.bounds.address_seconds)
+        self.entry.rejects_requests = True
+        self._caller_server.stop_listening()
+        self._caller_server.close_idle()
+        self._wait_until(lambda: not self._caller_server.active_requests, limit)
+        self.entry.poller.stop()
 
     def _wait_until(self, is_met: Callable[[], bool], limit: float) -> None:
         while not is_met() and read_clock() < limit:
-            sleep(POLL_SECONDS)
+            sleep(POLL_INTERVAL_SECONDS)
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entries.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entries.py
@@ -6,11 +6,11 @@
 from bergamotwood_core.gateway.load import EndpointLoad, LoadSum
 from bergamotwood_core.gateway.suspects import Crash, Success
 from bergamotwood_core.ids import EndpointId, InstanceId, SessionId
-from bergamotwood_daemon.gateway.peering import EntryAddress, EntryStatus
+from bergamotwood_daemon.gateway.peermessages import EntryAddress, EntryStatus
 
 # An entry reports at least each half second; callers should not be sent to one
 # that has missed two reports.
-SILENCE_SECONDS = 1.5
+ENTRY_EXPIRY_SECONDS = 1.5
 
 
 class EntryTable:
@@ -26,30 +26,32 @@
         self.version = 0
         self._clock = clock
         self._statuses: dict[InstanceId, EntryStatus] = {}
-        self._heard: dict[InstanceId, Seconds] = {}
+        self._received_at: dict[InstanceId, Seconds] = {}
         self._loads = LoadSum()
 
-    def take(self, status: EntryStatus) -> bool:
+    def update(self, status: EntryStatus) -> bool:
         """Take in a status; return whether it is the newest."""
         instance = status.entry.instance
-        held = self._statuses.get(instance)
-        if held is not None and _order(held) >= _order(status):
+        previous = self._statuses.get(instance)
+        if previous is not None and _make_order_key(previous) >= _make_order_key(
+            status
+        ):
             return False
-        if held is not None:
-            self._loads.subtract(held.loads)
+        if previous is not None:
+            self._loads.subtract(previous.loads)
         self._loads.add(status.loads)
         self._statuses[instance] = status
-        self._heard[instance] = self._clock()
-        if held is None or held.entry.is_ready != status.entry.is_ready:
+        self._received_at[instance] = self._clock()
+        if previous is None or previous.entry.is_ready != status.entry.is_ready:
             self.version += 1
         return True
 
     def expire(self) -> None:
         """Forget entries that do not report."""
-        limit = self._clock() - SILENCE_SECONDS
-        for instance in [key for key, at in self._heard.items() if at < limit]:
+        limit = self._clock() - ENTRY_EXPIRY_SECONDS
+        for instance in [key for key, at in self._received_at.items() if at < limit]:
             self._loads.subtract(self._statuses.pop(instance).loads)
-            del self._heard[instance]
+            del self._received_at[instance]
             self.version += 1
 
     def list_live(self) -> tuple[EntryStatus, ...]:
@@ -62,8 +64,8 @@
 
     def list_loads(self, instance: InstanceId) -> dict[EndpointId, EndpointLoad]:
         """Return the load that all entries but one put on each endpoint."""
-        held = self._statuses.get(instance)
-        return self._loads.list_beside(held.loads if held else {})
+        own_status = self._statuses.get(instance)
+        return self._loads.list_beside(own_status.loads if own_status else {})
 
     def list_crashes(self, instance: InstanceId) -> tuple[Crash, ...]:
         """Return what all entries but one report of crashing requests."""
@@ -93,5 +95,5 @@
         return tuple(dict.fromkeys(sessions))
 
 
-def _order(status: EntryStatus) -> tuple[int, int]:
+def _make_order_key(status: EntryStatus) -> tuple[int, int]:
     return status.incarnation, status.sequence
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
@@ -19,14 +19,14 @@
 )
 from bergamotwood_core.gateway.suspects import SuspectTable
 from bergamotwood_core.ids import DataCentre, Incarnation, SessionId
-from bergamotwood_daemon.gateway.belief import Belief
 from bergamotwood_daemon.gateway.client import ConnectionPool
+from bergamotwood_daemon.gateway.controlpoller import ControlPoller
+from bergamotwood_daemon.gateway.controlstate import ControlState
 from bergamotwood_daemon.gateway.counters import EntryCounters
 from bergamotwood_daemon.gateway.dialect import Dialect
 from bergamotwood_daemon.gateway.evidence import EvidenceCounter
-from bergamotwood_daemon.gateway.peering import EntryAddress, EntryStatus
+from bergamotwood_daemon.gateway.peermessages import EntryAddress, EntryStatus
 from bergamotwood_daemon.gateway.settings import GatewaySettings
-from bergamotwood_daemon.gateway.watch import ControlWatch
 from bergamotwood_daemon.log import count_dropped_lines
 
 # Entries named in one answer to callers.
@@ -51,9 +51,9 @@
 
     Attributes
     ----------
-    is_leaving : bool
+    is_draining : bool
         Whether callers are led away.
-    is_closed : bool
+    rejects_requests : bool
         Whether new requests are refused: they could not be finished any more.
     """
 
@@ -70,9 +70,9 @@
         self.dialect = dialect
         self.clock = clock
         self.rng = rng
-        self.is_leaving = False
-        self.is_closed = False
-        self.belief = Belief(dialect, clock, bounds.key_lease_seconds)
+        self.is_draining = False
+        self.rejects_requests = False
+        self.control_state = ControlState(dialect, clock, bounds.key_lease_seconds)
         self.health = HealthTable()
         self.pool = ConnectionPool(clock)
         self.loads = LoadTable()
@@ -87,11 +87,11 @@
         self.budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_seconds
         )
-        self.watch = ControlWatch(
-            self.belief,
-            self._describe,
+        self.poller = ControlPoller(
+            self.control_state,
+            self._make_status,
             lambda: self.settings.seeds,
-            self.take_reports,
+            self.apply_reports,
             clock,
             rng,
         )
@@ -101,25 +101,27 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        return not self.is_leaving and self.belief.routing is not None
+        return not self.is_draining and self.control_state.routing is not None
 
     def list_addresses(self, data_centre: DataCentre) -> list[str]:
         """Return the entries to use, those of a data centre first."""
-        entries = [entry for entry in self.belief.entries if entry.is_ready]
-        own = self._describe_address()
+        entries = [entry for entry in self.control_state.entries if entry.is_ready]
+        own_address = self._format_address()
         addresses = {entry.address: entry.data_centre for entry in entries}
-        addresses.pop(own, None)
+        addresses.pop(own_address, None)
         if self.is_ready:
-            addresses[own] = self.settings.data_centre
+            addresses[own_address] = self.settings.data_centre
         near = [name for name, at in addresses.items() if at == data_centre]
         return (near or list(addresses))[:MAX_ADDRESSES]
 
-    def list_allowed_beats(self, call: Call) -> list[list[EndpointBeat]]:
+    def list_eligible_endpoints(self, call: Call) -> list[list[EndpointBeat]]:
         """Return the endpoints whose version may get a request, preferred first."""
         beats = [
-            beat for beat in self.belief.beats.values() if beat.service == call.service
+            beat
+            for beat in self.control_state.beats.values()
+            if beat.service == call.service
         ]
-        view = self.belief.rollouts.get(call.service)
+        view = self.control_state.rollouts.get(call.service)
         if view is None:
             return [beats]
         target = view.rollout.target
@@ -130,29 +132,31 @@
                 return [new, old]
             case RolloutOutcome.ROLLED_BACK:
                 return [old]
-        return [new, old] if self._is_on_target(view, call) else [old]
+        return [new, old] if self._routes_to_target(view, call) else [old]
 
-    def take_reports(self) -> None:
+    def apply_reports(self) -> None:
         """Take in what the control group and other entries report."""
-        self.placement.silent = self.belief.silent
-        self.loads.report(self.belief.loads)
+        self.placement.silent = self.control_state.silent
+        self.loads.report(self.control_state.loads)
         self.suspects.take_reports(
-            self.belief.crashes, self.belief.successes, self.clock()
+            self.control_state.crashes, self.control_state.successes, self.clock()
         )
 
-    def note_outcome(
+    def record_outcome(
         self, call: Call, beat: EndpointBeat, is_bad: bool, timing: Timing | None
     ) -> None:
         """Take in how a request ended on an endpoint's version."""
         is_slow = timing is not None and self.pace.is_slow(
             call.route.name, call.model, timing
         )
-        view = self.belief.rollouts.get(call.service)
-        runs = view is not None and view.rollout.outcome is RolloutOutcome.IN_PROGRESS
-        if runs:
-            self.evidence.note(view.rollout, beat.version, call, is_bad or is_slow)
-        is_usual = not runs or beat.version != view.rollout.target
-        if timing is not None and not is_bad and is_usual:
+        view = self.control_state.rollouts.get(call.service)
+        in_rollout = (
+            view is not None and view.rollout.outcome is RolloutOutcome.IN_PROGRESS
+        )
+        if in_rollout:
+            self.evidence.record(view.rollout, beat.version, call, is_bad or is_slow)
+        is_baseline = not in_rollout or beat.version != view.rollout.target
+        if timing is not None and not is_bad and is_baseline:
             self.pace.note(
                 call.route.name, call.model, timing, call.terms.expected_tokens
             )
@@ -160,29 +164,29 @@
     def maintain(self) -> None:
         """Drop what has expired; to be called about each second."""
         self.pool.expire()
-        self.health.keep(set(self.belief.beats))
-        self.placement.memory.keep(set(self.belief.beats))
-        self.budget.entries = max(len(self.belief.entries), 1)
+        self.health.keep(set(self.control_state.beats))
+        self.placement.memory.keep(set(self.control_state.beats))
+        self.budget.entries = max(len(self.control_state.entries), 1)
 
     def list_gauges(self) -> dict[str, float]:
         """Return the present values for the metrics address."""
         return {
-            "configuration_number": self.belief.number,
-            "belief_age_seconds": round(self.belief.age, 3),
-            "endpoints": len(self.belief.beats),
-            "entries": len(self.belief.entries),
+            "configuration_number": self.control_state.number,
+            "belief_age_seconds": round(self.control_state.age, 3),
+            "endpoints": len(self.control_state.beats),
+            "entries": len(self.control_state.entries),
             "outstanding": self.loads.count(),
             "connections_opened_total": self.pool.opened,
             "log_lines_dropped_total": count_dropped_lines(),
-            "silent_endpoints": len(self.belief.silent),
+            "silent_endpoints": len(self.control_state.silent),
         }
 
-    def _describe(self) -> EntryStatus:
+    def _make_status(self) -> EntryStatus:
         self._sequence += 1
         return EntryStatus(
             EntryAddress(
                 self.settings.instance,
-                self._describe_address(),
+                self._format_address(),
                 self.settings.data_centre,
                 self.is_ready,
             ),
@@ -195,22 +199,22 @@
             self.suspects.list_successes(self.clock()),
         )
 
-    def _is_on_target(self, view: RolloutView, call: Call) -> bool:
+    def _routes_to_target(self, view: RolloutView, call: Call) -> bool:
         session = call.terms.session
         version = self.sessions.find_version(call.service, session, self.clock())
-        elsewhere = version is not None and version != view.rollout.target
-        is_open = elsewhere or session in self.belief.open_sessions
+        uses_other_version = version is not None and version != view.rollout.target
+        is_open = uses_other_version or session in self.control_state.open_sessions
         return is_on_target(view, session or call.terms.request, is_open)
 
     def _list_open_sessions(self) -> tuple[SessionId, ...]:
         now = self.clock()
         return tuple(
             session
-            for view in self.belief.rollouts.values()
+            for view in self.control_state.rollouts.values()
             if view.rollout.outcome is RolloutOutcome.IN_PROGRESS
             and not view.may_move_sessions
             for session in self.sessions.list_open(view.rollout, now)
         )
 
-    def _describe_address(self) -> str:
+    def _format_address(self) -> str:
         return str(self.settings.callers)
--- a/packages/daemon/src/bergamotwood_daemon/gateway/evidence.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/evidence.py
@@ -13,13 +13,13 @@
         self._rollouts: dict[ServiceName, LogIndex] = {}
         self._counts: dict[tuple[ServiceName, str, str], tuple[int, int]] = {}
 
-    def note(
+    def record(
         self, rollout: ServiceRollout, version: str, call: Call, is_bad: bool
     ) -> None:
         """Count a request that ended while a roll-out was in progress."""
         if self._rollouts.get(rollout.service) != rollout.index:
             self._rollouts[rollout.service] = rollout.index
-            self._forget(rollout.service)
+            self._clear(rollout.service)
         key = (rollout.service, version, call.route.name)
         trials, bad = self._counts.get(key, (0, 0))
         self._counts[key] = (trials + 1, bad + is_bad)
@@ -31,6 +31,6 @@
             for key, (trials, bad) in self._counts.items()
         )
 
-    def _forget(self, service: ServiceName) -> None:
+    def _clear(self, service: ServiceName) -> None:
         for key in [key for key in self._counts if key[0] == service]:
             del self._counts[key]
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -35,27 +35,27 @@
     Answered,
     Attempt,
     Delivered,
-    Dropped,
+    Discarded,
+    MayHaveRun,
     NotRun,
     Outcome,
-    Unclear,
 )
 from bergamotwood_daemon.gateway.entry import GatewayEntry
 from bergamotwood_daemon.gateway.message import HttpResponse
-from bergamotwood_daemon.gateway.server import CallerGoneError, Exchange
+from bergamotwood_daemon.gateway.server import CallerDisconnectedError, Exchange
 from bergamotwood_daemon.gateway.streams import StreamRelay
 from bergamotwood_daemon.log import log_event
 from bergamotwood_daemon.web import PROBLEM_JSON, encode_problem
 
 # Patience that is assumed of a caller that states none.
-DEFAULT_PATIENCE_SECONDS = 10.0
+DEFAULT_CALLER_TIMEOUT_SECONDS = 10.0
 # Time after which a caller finds room again where every endpoint refused.
-FULL_RETRY_SECONDS = 0.3
+OVERLOADED_RETRY_SECONDS = 0.3
 # Time after which a service without endpoints may have some again: about one
 # beat of an endpoint that starts.
-ABSENT_RETRY_SECONDS = 0.6
+NO_ENDPOINT_RETRY_SECONDS = 0.6
 # Other entries have room at once; the caller only has to connect anew.
-ELSEWHERE_SECONDS = 0.02
+DRAINING_RETRY_SECONDS = 0.02
 # Endpoints count from 0 to 9, the most urgent first; routes seldom exceed 3.
 MAX_URGENCY = 9
 
@@ -78,25 +78,25 @@
         started_at = exchange.request.received_at
         try:
             call = self._admit(exchange)
-            self._forward_truly(call, exchange)
+            self._forward_converting_refusals(call, exchange)
             self._log_answer(call, exchange)
         except BergamotwoodError as error:
-            self._refuse(exchange, error)
-        except CallerGoneError:
-            log_event("request", "Caller left.", **_describe(call))
+            self._answer_error(exchange, error)
+        except CallerDisconnectedError:
+            log_event("request", "Caller left.", **_make_call_fields(call))
             raise
         finally:
             seconds = self._entry.clock() - started_at
-            self._entry.counters.note_request(call, exchange, seconds)
+            self._entry.counters.count_request(call, exchange, seconds)
 
     def _admit(self, exchange: Exchange) -> Call:
         entry = self._entry
         request = exchange.request
-        if entry.is_closed:
+        if entry.rejects_requests:
             raise RefusedError(
-                "this entry stops", Code.DRAINING, retry_after=ELSEWHERE_SECONDS
+                "this entry stops", Code.DRAINING, retry_after=DRAINING_RETRY_SECONDS
             )
-        routing = entry.belief.require_routing()
+        routing = entry.control_state.require_routing()
         terms = entry.dialect.read_call(request.headers)
         route = routing.find_route(request.host, request.path)
         if route is None:
@@ -104,7 +104,7 @@
                 f"no route for {request.host}{request.path}", Code.UNKNOWN_PATH
             )
         holder = self._authorize(routing, route, terms)
-        patience = terms.patience_seconds or DEFAULT_PATIENCE_SECONDS
+        caller_timeout = terms.patience_seconds or DEFAULT_CALLER_TIMEOUT_SECONDS
         call = Call(
             terms=terms,
             route=route,
@@ -112,19 +112,19 @@
             service=choose_destination(route, terms.session or terms.request),
             received_at=Seconds(request.received_at),
             deadline=Seconds(
-                request.received_at + min(patience, route.timeout_seconds)
+                request.received_at + min(caller_timeout, route.timeout_seconds)
             ),
             fingerprint=_make_fingerprint(exchange, holder),
             last_event=terms.last_event,
             model=terms.model,
         )
-        self._check_suspicion(call)
+        self._check_suspension(call)
         entry.budget.note_request(call.service, entry.clock())
         if terms.leaves_model_open:
             call.model = self._choose_model(call)
         return call
 
-    def _check_suspicion(self, call: Call) -> None:
+    def _check_suspension(self, call: Call) -> None:
         """Refuse a request that has crashed endpoints, here or at other entries."""
         entry = self._entry
         seconds = entry.suspects.measure_suspension(call.fingerprint, entry.clock())
@@ -140,24 +140,24 @@
     ) -> KeyHolder | None:
         if not route.requires_key or not routing.asks_for_keys:
             return None
-        self._entry.belief.require_lease()
+        self._entry.control_state.require_lease()
         holder = routing.find_holder(terms.key)
         if holder is None:
             raise AuthorizationError("unknown key")
         return holder
 
     def _choose_model(self, call: Call) -> ModelName:
-        held = list_models(self._entry.belief.beats.values(), call)
-        model = choose_first_model(call.route.models, held)
+        available = list_models(self._entry.control_state.beats.values(), call)
+        model = choose_first_model(call.route.models, available)
         if model is None:
             raise RefusedError(
                 f"{call.service}: no endpoint holds a model of the route",
                 Code.NO_ENDPOINT,
-                retry_after=ABSENT_RETRY_SECONDS,
+                retry_after=NO_ENDPOINT_RETRY_SECONDS,
             )
         return model
 
-    def _forward_truly(self, call: Call, exchange: Exchange) -> None:
+    def _forward_converting_refusals(self, call: Call, exchange: Exchange) -> None:
         """Forward; a refusal after an attempt that may have run says so."""
         try:
             self._forward(call, exchange)
@@ -170,38 +170,40 @@
         relay = StreamRelay(self._entry, call, exchange)
         last: Outcome | None = None
         while True:
-            candidate = self._choose(call, last, relay)
+            candidate = self._choose_endpoint(call, last, relay)
             if call.tried:
                 self._entry.budget.note_repeat(call.service, self._entry.clock())
             call.tried.append(candidate.beat.endpoint)
-            self._note_session(call, candidate)
-            last = self._try(call, candidate, exchange, relay)
+            self._record_session(call, candidate)
+            last = self._try_endpoint(call, candidate, exchange, relay)
             if exchange.is_finished:
                 return
-            if self._may_repeat(call, last):
+            if self._may_retry(call, last):
                 continue
-            self._conclude(call, exchange, last, relay)
+            self._finish_exchange(call, exchange, last, relay)
             return
 
-    def _choose(
+    def _choose_endpoint(
         self, call: Call, last: Outcome | None, relay: StreamRelay
     ) -> Candidate:
         entry = self._entry
-        for beats in entry.list_allowed_beats(call):
+        for beats in entry.list_eligible_endpoints(call):
             chosen = entry.placement.choose(beats, call, entry.clock())
             if chosen is not None:
                 return chosen
         if last is not None and not isinstance(last, NotRun):
-            self._conclude_failure(last)
-        if relay.has_begun:
+            self._raise_failure(last)
+        if relay.has_started:
             raise EndpointError("no endpoint to go on at", Code.STREAM_BROKEN)
         raise RefusedError(
             f"{call.service}: no endpoint takes requests",
             Code.NO_ENDPOINT,
-            retry_after=FULL_RETRY_SECONDS if call.tried else ABSENT_RETRY_SECONDS,
+            retry_after=OVERLOADED_RETRY_SECONDS
+            if call.tried
+            else NO_ENDPOINT_RETRY_SECONDS,
         )
 
-    def _note_session(self, call: Call, candidate: Candidate) -> None:
+    def _record_session(self, call: Call, candidate: Candidate) -> None:
         if call.terms.session:
             self._entry.sessions.note(
                 call.service,
@@ -210,7 +212,7 @@
                 self._entry.clock(),
             )
 
-    def _try(
+    def _try_endpoint(
         self,
         call: Call,
         candidate: Candidate,
@@ -221,23 +223,23 @@
         beat = candidate.beat
         started_at = entry.clock()
         request = call.terms.request
-        reading = entry.placement.estimate_reading(candidate, call)
-        entry.loads.start(beat.endpoint, request, reading)
+        prefill_seconds = entry.placement.estimate_reading(candidate, call)
+        entry.loads.start(beat.endpoint, request, prefill_seconds)
         entry.placement.note_sent(candidate, call)
-        attempt = Attempt(entry, call, exchange.request, beat, self._write_terms)
+        attempt = Attempt(entry, call, exchange.request, beat, self._make_forward_terms)
         outcome: Outcome | None = None
         try:
-            outcome = self._run(call, candidate, attempt, exchange, relay)
+            outcome = self._run_attempt(call, candidate, attempt, exchange, relay)
         finally:
             entry.loads.end(beat.endpoint, request)
             attempt.close()
             if outcome is not None:
-                timing = self._measure(outcome, attempt, relay, started_at)
+                timing = self._measure_timing(outcome, attempt, relay, started_at)
                 call.timing = timing
-                self._note(call, candidate, outcome, timing)
+                self._record_outcome(call, candidate, outcome, timing)
         return outcome
 
-    def _run(
+    def _run_attempt(
         self,
         call: Call,
         candidate: Candidate,
@@ -247,30 +249,32 @@
     ) -> Outcome:
         if call.route.kind is not RouteKind.STREAMING:
             outcome = attempt.fetch()
-            if isinstance(outcome, Answered) and not self._is_worth_repeating(
+            if isinstance(outcome, Answered) and not self._should_retry_answer(
                 call, outcome
             ):
                 exchange.answer(outcome.response)
             return outcome
-        outcome = attempt.begin()
+        outcome = attempt.send_request()
         if not isinstance(outcome, h11.Response):
             return outcome
-        self._note_begun(call, candidate, attempt)
+        self._record_response_start(call, candidate, attempt)
         larger = self._find_larger_model(call, outcome, relay)
         if larger is not None:
             log_event(
                 "attempt",
                 "Answer dropped for a larger model.",
-                **_describe(call),
+                **_make_call_fields(call),
                 endpoint=attempt.beat.endpoint,
                 confidence=call.confidence,
                 larger=larger,
             )
             call.model = larger
-            return Dropped("low confidence")
-        return relay.pass_on(attempt, outcome)
+            return Discarded("low confidence")
+        return relay.forward(attempt, outcome)
 
-    def _note_begun(self, call: Call, candidate: Candidate, attempt: Attempt) -> None:
+    def _record_response_start(
+        self, call: Call, candidate: Candidate, attempt: Attempt
+    ) -> None:
         entry = self._entry
         entry.loads.begin(candidate.beat.endpoint, call.terms.request)
         seconds = attempt.head_at - attempt.started_at
@@ -279,17 +283,17 @@
     def _find_larger_model(
         self, call: Call, head: h11.Response, relay: StreamRelay
     ) -> ModelName | None:
-        if not call.terms.leaves_model_open or relay.has_begun:
+        if not call.terms.leaves_model_open or relay.has_started:
             return None
         call.confidence = self._entry.dialect.read_answer(list(head.headers)).confidence
         if call.runs >= call.route.max_attempts:
             return None
         if not self._entry.budget.allows(call.service, self._entry.clock()):
             return None
-        held = list_models(self._entry.belief.beats.values(), call)
+        available = list_models(self._entry.control_state.beats.values(), call)
         return choose_next_model(
             call.route.models,
-            held,
+            available,
             call.model,
             call.confidence,
             lambda model: self._has_time(call, model),
@@ -306,7 +310,7 @@
         log_event(
             "attempt",
             "No time for a larger model.",
-            **_describe(call),
+            **_make_call_fields(call),
             larger=model,
             expected_tokens=call.terms.expected_tokens,
             expected_seconds=round(seconds, 2),
@@ -314,8 +318,8 @@
         )
         return False
 
-    def _write_terms(self, call: Call, attempt: Attempt) -> ForwardTerms:
-        self._check_key_again(call)
+    def _make_forward_terms(self, call: Call, attempt: Attempt) -> ForwardTerms:
+        self._recheck_key(call)
         return ForwardTerms(
             endpoint=attempt.beat.endpoint,
             patience_seconds=call.deadline - self._entry.clock(),
@@ -327,21 +331,21 @@
             last_event=call.last_event,
         )
 
-    def _check_key_again(self, call: Call) -> None:
+    def _recheck_key(self, call: Call) -> None:
         """Refuse a request whose key was taken away while it waited."""
         if call.holder is None:
             return
-        belief = self._entry.belief
-        belief.require_lease()
-        if belief.require_routing().find_holder(call.terms.key) is None:
+        control_state = self._entry.control_state
+        control_state.require_lease()
+        if control_state.require_routing().find_holder(call.terms.key) is None:
             raise AuthorizationError("the key was taken away")
 
-    def _is_worth_repeating(self, call: Call, outcome: Answered) -> bool:
+    def _should_retry_answer(self, call: Call, outcome: Answered) -> bool:
         if outcome.response.status < 500:
             return False
-        return self._may_repeat(call, outcome)
+        return self._may_retry(call, outcome)
 
-    def _may_repeat(self, call: Call, outcome: Outcome) -> bool:
+    def _may_retry(self, call: Call, outcome: Outcome) -> bool:
         entry = self._entry
         now = entry.clock()
         has_run = not isinstance(outcome, NotRun)
@@ -352,7 +356,7 @@
         unsent = isinstance(outcome, NotRun) and not outcome.was_sent
         return unsent or entry.budget.allows(call.service, now)
 
-    def _measure(
+    def _measure_timing(
         self,
         outcome: Outcome,
         attempt: Attempt,
@@ -364,7 +368,7 @@
             return Timing(seconds, seconds)
         return Timing(attempt.head_at - started_at, seconds, relay.events)
 
-    def _note(
+    def _record_outcome(
         self,
         call: Call,
         candidate: Candidate,
@@ -381,11 +385,11 @@
             timing.whole_seconds,
             entry.clock(),
         )
-        entry.counters.note_attempt(call, result)
-        if isinstance(outcome, Answered | Delivered | Unclear):
+        entry.counters.count_attempt(call, result)
+        if isinstance(outcome, Answered | Delivered | MayHaveRun):
             is_bad = result is not Result.OK
-            entry.note_outcome(call, beat, is_bad, None if is_bad else timing)
-        if isinstance(outcome, Unclear) and result is Result.BROKEN:
+            entry.record_outcome(call, beat, is_bad, None if is_bad else timing)
+        if isinstance(outcome, MayHaveRun) and result is Result.BROKEN:
             entry.suspects.note_crash(
                 call.fingerprint, beat.endpoint, beat.incarnation, entry.clock()
             )
@@ -395,7 +399,7 @@
         log_event(
             "attempt",
             "Attempt failed.",
-            **_describe(call),
+            **_make_call_fields(call),
             endpoint=beat.endpoint,
             address=beat.address,
             number=len(call.tried),
@@ -404,28 +408,28 @@
             version=beat.version,
             milliseconds=round(1000 * timing.whole_seconds, 1),
             failure_rate=round(candidate.health.failure_rate, 2),
-            configuration=entry.belief.number,
-            age=round(entry.belief.age, 2),
+            configuration=entry.control_state.number,
+            age=round(entry.control_state.age, 2),
         )
 
-    def _conclude(
+    def _finish_exchange(
         self, call: Call, exchange: Exchange, last: Outcome, relay: StreamRelay
     ) -> None:
         match last:
             case Answered(response):
                 exchange.answer(response)
             case NotRun(reason):
-                if relay.has_begun:
+                if relay.has_started:
                     raise EndpointError(reason, Code.STREAM_BROKEN)
                 raise RefusedError(
-                    reason, Code.OVERLOADED, retry_after=FULL_RETRY_SECONDS
+                    reason, Code.OVERLOADED, retry_after=OVERLOADED_RETRY_SECONDS
                 )
             case _:
-                self._conclude_failure(last)
+                self._raise_failure(last)
 
-    def _conclude_failure(self, last: Outcome) -> None:
+    def _raise_failure(self, last: Outcome) -> None:
         match last:
-            case Unclear(reason) if last.result is Result.SILENT:
+            case MayHaveRun(reason) if last.result is Result.SILENT:
                 raise EndpointError(reason, Code.STREAM_SILENT)
             case _:
                 raise EndpointError(last.reason, Code.ENDPOINT_FAILED)
@@ -434,7 +438,7 @@
         log_event(
             "request",
             "Answered.",
-            **_describe(call),
+            **_make_call_fields(call),
             status=exchange.status,
             endpoints=call.tried,
             confidence=call.confidence,
@@ -442,13 +446,13 @@
             prompt_tokens=call.terms.prompt_tokens,
             output_tokens=call.terms.output_tokens,
             subject=choose_subject(call),
-            **_describe_timing(call.timing),
+            **_make_timing_fields(call.timing),
             milliseconds=round(1000 * (self._entry.clock() - call.received_at), 1),
-            configuration=self._entry.belief.number,
-            age=round(self._entry.belief.age, 2),
+            configuration=self._entry.control_state.number,
+            age=round(self._entry.control_state.age, 2),
         )
 
-    def _refuse(self, exchange: Exchange, error: BergamotwoodError) -> None:
+    def _answer_error(self, exchange: Exchange, error: BergamotwoodError) -> None:
         request = self._entry.dialect.read_id(exchange.request.headers)
         log_event(
             "request",
@@ -459,8 +463,8 @@
             run=error.run,
             reason=error.detail,
             retry_after=error.retry_after,
-            configuration=self._entry.belief.number,
-            age=round(self._entry.belief.age, 2),
+            configuration=self._entry.control_state.number,
+            age=round(self._entry.control_state.age, 2),
         )
         if exchange.status:
             # The answer has begun: only a closed connection says that it failed.
@@ -479,7 +483,7 @@
     return Fingerprint(digest.hexdigest()[:32])
 
 
-def _describe_timing(timing: Timing | None) -> dict[str, object]:
+def _make_timing_fields(timing: Timing | None) -> dict[str, object]:
     if timing is None or not timing.events:
         return {}
     return {
@@ -489,7 +493,7 @@
     }
 
 
-def _describe(call: Call | None) -> dict[str, object]:
+def _make_call_fields(call: Call | None) -> dict[str, object]:
     if call is None:
         return {}
     return {
--- a/packages/daemon/src/bergamotwood_daemon/gateway/message.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/message.py
@@ -80,8 +80,8 @@
 
 def find_field(headers: Headers, name: bytes) -> str | None:
     """Return the first value of a header field, None without one."""
-    for held, value in headers:
-        if held == name:
+    for field, value in headers:
+        if field == name:
             return value.decode("latin-1")
     return None
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -38,7 +38,7 @@
 from bergamotwood_daemon.gateway.channels import PeerChannels, ReplicationSenders
 from bergamotwood_daemon.gateway.dialect import Dialect
 from bergamotwood_daemon.gateway.entries import EntryTable
-from bergamotwood_daemon.gateway.peering import (
+from bergamotwood_daemon.gateway.peermessages import (
     ENCODER,
     POLL,
     STATE_REPLY,
@@ -48,7 +48,7 @@
     SyncReply,
     SyncRequest,
 )
-from bergamotwood_daemon.gateway.rollouts import RolloutControl
+from bergamotwood_daemon.gateway.rollouts import RolloutController
 from bergamotwood_daemon.gateway.settings import GatewaySettings
 from bergamotwood_daemon.group import LogGroup
 from bergamotwood_daemon.groupsettings import GroupSettings
@@ -75,16 +75,16 @@
 ELECTION_SECONDS = 0.6
 LEASE_SECONDS = 0.45
 # Pause between two tries to find the leader; elections take about a second.
-RETRY_SECONDS = 0.05
+LEADER_RETRY_SECONDS = 0.05
 # Collects soft state into one call to each replica, well below a beat's period.
-RELAY_SECONDS = 0.05
+RELAY_INTERVAL_SECONDS = 0.05
 RELAY_TIMEOUT_SECONDS = 0.5
-EXPIRE_SECONDS = 0.25
+EXPIRY_INTERVAL_SECONDS = 0.25
 # Beats come each second or so; traffic finds dead endpoints long before this.
-ENDPOINT_SILENCE_SECONDS = 30.0
-MAX_HOLD_SECONDS = 2.0
+ENDPOINT_EXPIRY_SECONDS = 30.0
+MAX_LONG_POLL_SECONDS = 2.0
 # Periods of its beats after which an endpoint counts as silent: one may be lost.
-SILENT_BEATS = 2.2
+SILENT_AFTER_BEATS = 2.2
 
 
 class GatewayReplica:
@@ -116,14 +116,14 @@
         self._machine = GatewayMachine()
         self._senders = ReplicationSenders()
         self._channels = PeerChannels()
-        self._relays = PeerChannels()
-        self.directory = EndpointDirectory(ENDPOINT_SILENCE_SECONDS)
+        self._relay_channels = PeerChannels()
+        self.directory = EndpointDirectory(ENDPOINT_EXPIRY_SECONDS)
         self.entries = EntryTable(clock)
-        self._news = Event()
-        self._beats: list[EndpointBeat] = []
-        self._statuses: list[EntryStatus] = []
+        self._state_changed = Event()
+        self._pending_beats: list[EndpointBeat] = []
+        self._pending_statuses: list[EntryStatus] = []
         self._applied_number = -1
-        self._woken_at = -1
+        self._notified_version = -1
         self.group = LogGroup(
             GROUP,
             GroupSettings(
@@ -142,24 +142,24 @@
             clock,
             rng,
         )
-        self.rollouts = RolloutControl(
+        self.rollouts = RolloutController(
             self._machine, self.directory, self.entries, clock
         )
-        self.group.on_apply(self._take_applied)
+        self.group.on_apply(self._handle_applied)
 
     def start(self) -> None:
         """Take part in the group."""
         self.group.start()
-        self._take_applied()
-        spawn(self._relay)
-        spawn(self._expire)
+        self._handle_applied()
+        spawn(self._run_relay)
+        spawn(self._run_expiry)
 
     def stop(self) -> None:
         """Hand leadership over and stop."""
         self.group.stop(handover=True)
         self._senders.stop()
         self._channels.close()
-        self._relays.close()
+        self._relay_channels.close()
 
     def replace_configuration(self, document: bytes) -> CommandOutcome:
         """Put a configuration in force, unless a higher number holds.
@@ -224,7 +224,7 @@
                 return rollout
         return None
 
-    def take_beat(self, beat: EndpointBeat) -> None:
+    def record_heartbeat(self, beat: EndpointBeat) -> None:
         """Take in a beat; that an endpoint leaves is committed first.
 
         Raises
@@ -238,10 +238,10 @@
         version = self.directory.version
         if not self.directory.take_beat(beat, self._clock()):
             return
-        self._beats.append(beat)
+        self._pending_beats.append(beat)
         if self.directory.version != version:
             self._log_endpoint(beat)
-        self._wake_if_news()
+        self._notify_if_changed()
 
     def record_departure(
         self,
@@ -266,8 +266,8 @@
             When no majority confirms it in time.
         """
         if incarnation is None:
-            held = self.directory.find(endpoint)
-            incarnation = held.incarnation if held else Incarnation(0)
+            known_beat = self.directory.find(endpoint)
+            incarnation = known_beat.incarnation if known_beat else Incarnation(0)
         outcome = self._commit(RecordDeparture(endpoint, incarnation, state))
         if outcome.changed:
             log_event("directory", "Endpoint leaves.", endpoint=endpoint, state=state)
@@ -322,12 +322,12 @@
                 for beat in beats:
                     self.directory.take_beat(beat, now)
                 for status in statuses:
-                    self.entries.take(status)
-                self._wake_if_news()
+                    self.entries.update(status)
+                self._notify_if_changed()
                 return b""
 
     def _settle_rollouts(self) -> None:
-        for command in self.rollouts.list_verdicts():
+        for command in self.rollouts.list_settlements():
             spawn(self._settle, command)
 
     def _settle(self, command: SettleRollout) -> None:
@@ -351,18 +351,20 @@
         )
 
     @property
-    def _version(self) -> int:
+    def _directory_version(self) -> int:
         return self.directory.version + self.entries.version
 
     def _answer_sync(self, request: SyncRequest) -> SyncReply:
-        if self.entries.take(request.status):
-            self._statuses.append(request.status)
-            self._wake_if_news()
-        self._wait_for_news(request)
+        if self.entries.update(request.status):
+            self._pending_statuses.append(request.status)
+            self._notify_if_changed()
+        self._wait_for_change(request)
         instance = request.status.entry.instance
         state = self._machine.state
         age = self.group.confirmed_age(self._clock())
-        known = request.boot == self._boot and request.version == self._version
+        is_current = (
+            request.boot == self._boot and request.version == self._directory_version
+        )
         return SyncReply(
             age_seconds=age,
             replicas=self._list_replicas(),
@@ -370,30 +372,31 @@
             document=state.document if state.number > request.number else None,
             rollouts=self.rollouts.list_views(),
             boot=self._boot,
-            version=self._version,
-            beats=None if known else self.directory.list_beats(),
-            entries=None if known else self.entries.list_addresses(),
+            version=self._directory_version,
+            beats=None if is_current else self.directory.list_beats(),
+            entries=None if is_current else self.entries.list_addresses(),
             loads=self.entries.list_loads(instance),
             crashes=self.entries.list_crashes(instance),
             successes=self.entries.list_successes(instance),
             open_sessions=self.entries.list_open_sessions(),
             silent=self.directory.list_silent(
-                self._clock(), SILENT_BEATS * self._settings.bounds.heartbeat_seconds
+                self._clock(),
+                SILENT_AFTER_BEATS * self._settings.bounds.heartbeat_seconds,
             ),
         )
 
-    def _wait_for_news(self, request: SyncRequest) -> None:
-        limit = self._clock() + min(request.hold_seconds, MAX_HOLD_SECONDS)
-        while not self._has_news(request):
-            left = limit - self._clock()
-            if left <= 0.0:
+    def _wait_for_change(self, request: SyncRequest) -> None:
+        limit = self._clock() + min(request.hold_seconds, MAX_LONG_POLL_SECONDS)
+        while not self._has_change(request):
+            remaining = limit - self._clock()
+            if remaining <= 0.0:
                 return
-            self._news.wait(left)
+            self._state_changed.wait(remaining)
 
-    def _has_news(self, request: SyncRequest) -> bool:
+    def _has_change(self, request: SyncRequest) -> bool:
         if self._machine.state.number > request.number:
             return True
-        return request.boot != self._boot or request.version != self._version
+        return request.boot != self._boot or request.version != self._directory_version
 
     def _list_replicas(self) -> tuple[InstanceId, ...]:
         members = tuple(member.instance for member in self.group.membership.members)
@@ -402,18 +405,20 @@
     def _commit(self, command: GatewayCommand) -> CommandOutcome:
         """Commit a command at the leader, wherever it is."""
         data = encode_command(command)
-        reply = self._insist(
+        reply = self._retry_until_deadline(
             lambda seconds: self._propose(data, seconds),
             "no majority confirmed it in time",
         )
         return OUTCOMES.decode(reply)
 
-    def _insist(self, act: Callable[[float], Result], failure: str) -> Result:
+    def _retry_until_deadline(
+        self, action: Callable[[float], Result], failure: str
+    ) -> Result:
         """Try until an action succeeds or the operator waits no more.
 
         Parameters
         ----------
-        act : callable
+        action : callable
             Gets the seconds left; raises ReplicationError when it fails.
         failure : str
             What to say when the time is over.
@@ -424,9 +429,9 @@
             if left <= 0.0:
                 raise ReplicationError(failure)
             try:
-                return act(left)
+                return action(left)
             except ReplicationError:
-                sleep(RETRY_SECONDS)
+                sleep(LEADER_RETRY_SECONDS)
 
     def _propose(self, data: bytes, seconds: float) -> bytes:
         if self.group.is_leader:
@@ -443,7 +448,9 @@
                 raise ReplicationError(detail)
 
     def _read_state(self) -> StateReply:
-        return self._insist(self._query, "no leader confirmed its state in time")
+        return self._retry_until_deadline(
+            self._query, "no leader confirmed its state in time"
+        )
 
     def _query(self, seconds: float) -> StateReply:
         if self.group.is_leader:
@@ -463,7 +470,7 @@
         rollouts = tuple(state.rollouts.values())
         return StateReply(state.number, state.document, rollouts)
 
-    def _take_applied(self) -> None:
+    def _handle_applied(self) -> None:
         state = self._machine.state
         self.directory.take_departures(state.departures)
         if state.number != self._applied_number:
@@ -474,41 +481,45 @@
                 number=state.number,
                 index=self.group.applied,
             )
-        self._wake()
+        self._notify_waiters()
 
-    def _wake_if_news(self) -> None:
-        version = self._version
-        if version != self._woken_at:
-            self._woken_at = version
-            self._wake()
+    def _notify_if_changed(self) -> None:
+        version = self._directory_version
+        if version != self._notified_version:
+            self._notified_version = version
+            self._notify_waiters()
 
-    def _wake(self) -> None:
-        self._news.set()
-        self._news.clear()
+    def _notify_waiters(self) -> None:
+        self._state_changed.set()
+        self._state_changed.clear()
 
-    def _relay(self) -> None:
+    def _run_relay(self) -> None:
         while True:
-            sleep(RELAY_SECONDS)
-            if not self._beats and not self._statuses:
+            sleep(RELAY_INTERVAL_SECONDS)
+            if not self._pending_beats and not self._pending_statuses:
                 continue
-            body = ENCODER.encode(Relay(tuple(self._beats), tuple(self._statuses)))
-            self._beats.clear()
-            self._statuses.clear()
+            body = ENCODER.encode(
+                Relay(tuple(self._pending_beats), tuple(self._pending_statuses))
+            )
+            self._pending_beats.clear()
+            self._pending_statuses.clear()
             for instance in self._list_replicas():
                 if instance != self._settings.instance:
                     spawn(self._send_relay, instance, body)
 
     def _send_relay(self, instance: InstanceId, body: bytes) -> None:
         try:
-            self._relays.get(instance).call(POLL_METHOD, body, RELAY_TIMEOUT_SECONDS)
+            self._relay_channels.get(instance).call(
+                POLL_METHOD, body, RELAY_TIMEOUT_SECONDS
+            )
         except ReplicationError as error:
             log_event("control", "Relay lost.", replica=instance, reason=error.detail)
 
-    def _expire(self) -> None:
+    def _run_expiry(self) -> None:
         while True:
-            sleep(EXPIRE_SECONDS)
+            sleep(EXPIRY_INTERVAL_SECONDS)
             self.directory.expire(self._clock())
             self.entries.expire()
-            self._wake_if_news()
+            self._notify_if_changed()
             if self.group.is_leader:
                 self._settle_rollouts()
--- a/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
@@ -26,10 +26,10 @@
 
 # Age up to which views are given out again: below an entry's time between two
 # questions, and of no weight beside the seconds that a roll-out takes.
-VIEW_SECONDS = 0.1
+VIEW_CACHE_SECONDS = 0.1
 
 
-class RolloutControl:
+class RolloutController:
     """Watches the roll-outs in progress.
 
     Parameters
@@ -57,7 +57,7 @@
         self._clock = clock
         self._watches: dict[LogIndex, RolloutWatch] = {}
         self._views: tuple[RolloutView, ...] = ()
-        self._viewed_at = Seconds(float("-inf"))
+        self._views_made_at = Seconds(float("-inf"))
 
     def list_views(self) -> tuple[RolloutView, ...]:
         """Return every service's newest roll-out as entries need it.
@@ -66,40 +66,42 @@
         """
         rollouts = self._list_rollouts()
         now = self._clock()
-        is_old = now - self._viewed_at > VIEW_SECONDS
-        if is_old or [view.rollout for view in self._views] != rollouts:
+        is_stale = now - self._views_made_at > VIEW_CACHE_SECONDS
+        if is_stale or [view.rollout for view in self._views] != rollouts:
             evidence = self._merge_evidence() if rollouts else []
-            self._views = tuple(self._describe(held, evidence) for held in rollouts)
-            self._viewed_at = now
+            self._views = tuple(
+                self._make_view(rollout, evidence) for rollout in rollouts
+            )
+            self._views_made_at = now
         return self._views
 
-    def list_verdicts(self) -> list[SettleRollout]:
+    def list_settlements(self) -> list[SettleRollout]:
         """Return the roll-outs that end now; to be called on the leader."""
-        verdicts = []
+        settlements = []
         for rollout in self._list_rollouts():
             if rollout.outcome is RolloutOutcome.IN_PROGRESS:
-                verdict = self._judge(rollout)
-                if verdict is not RolloutOutcome.IN_PROGRESS:
-                    command = SettleRollout(rollout.service, rollout.target, verdict)
-                    verdicts.append(command)
-        return verdicts
+                outcome = self._decide_outcome(rollout)
+                if outcome is not RolloutOutcome.IN_PROGRESS:
+                    command = SettleRollout(rollout.service, rollout.target, outcome)
+                    settlements.append(command)
+        return settlements
 
-    def _judge(self, rollout: ServiceRollout) -> RolloutOutcome:
+    def _decide_outcome(self, rollout: ServiceRollout) -> RolloutOutcome:
         watch = self._watches.setdefault(rollout.index, RolloutWatch())
         evidence = self._merge_evidence()
         harm = watch.find_harm(rollout, evidence, self._clock())
-        view = self._describe(rollout, evidence)
-        outstanding = self._count_outstanding_before(rollout)
-        verdict = choose_outcome(
+        view = self._make_view(rollout, evidence)
+        outstanding = self._count_old_version_requests(rollout)
+        outcome = choose_outcome(
             rollout, view.elapsed_seconds, harm, view.share, outstanding
         )
-        if verdict is not RolloutOutcome.IN_PROGRESS:
+        if outcome is not RolloutOutcome.IN_PROGRESS:
             log_event(
                 "rollout",
                 "Verdict.",
                 service=rollout.service,
                 target=rollout.target,
-                outcome=verdict,
+                outcome=outcome,
                 harmed_route=harm,
                 elapsed=round(view.elapsed_seconds, 2),
                 outstanding_before=outstanding,
@@ -109,9 +111,9 @@
                     if item.service == rollout.service
                 ],
             )
-        return verdict
+        return outcome
 
-    def _describe(
+    def _make_view(
         self, rollout: ServiceRollout, evidence: list[VersionEvidence]
     ) -> RolloutView:
         elapsed = max(time() - rollout.ordered_at, 0.0)
@@ -133,11 +135,13 @@
             for beat in self._directory.list_beats()
             if beat.service == rollout.service
         ]
-        new = versions.count(rollout.target)
-        return new > 0 and new >= CAPACITY_PART * (len(versions) - new)
+        new_count = versions.count(rollout.target)
+        return new_count > 0 and new_count >= CAPACITY_PART * (
+            len(versions) - new_count
+        )
 
-    def _count_outstanding_before(self, rollout: ServiceRollout) -> int:
-        before = {
+    def _count_old_version_requests(self, rollout: ServiceRollout) -> int:
+        old_endpoints = {
             beat.endpoint
             for beat in self._directory.list_beats()
             if beat.service == rollout.service and beat.version != rollout.target
@@ -146,5 +150,5 @@
             load.requests
             for status in self._entries.list_live()
             for endpoint, load in status.loads.items()
-            if endpoint in before
+            if endpoint in old_endpoints
         )
--- a/packages/daemon/src/bergamotwood_daemon/gateway/server.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/server.py
@@ -22,13 +22,13 @@
 MAX_UNREAD_BYTES = 1_048_576
 # Time that a caller may take to accept a piece of an answer. It gives up on
 # its own much earlier.
-SEND_SECONDS = 30.0
+SEND_TIMEOUT_SECONDS = 30.0
 # Time for the caller to take note of an error before its connection is closed.
 LINGER_SECONDS = 0.5
 BACKLOG = 1_024
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection."""
 
 
@@ -36,27 +36,27 @@
     """The caller has not sent what it began, or nothing for long."""
 
 
-class Inbound:
+class ReadAheadBuffer:
     """Bytes of a caller, read ahead so that its leaving is seen at once."""
 
     def __init__(self, sock: Socket) -> None:
         self.is_closed = False
         self._sock = sock
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size = 0
-        self._news = Event()
-        self._room = Event()
-        self._watcher: Callable[[], None] | None = None
+        self._data_ready = Event()
+        self._space_ready = Event()
+        self._on_close: Callable[[], None] | None = None
         self._reader = spawn(self._read)
 
     @property
     def has_bytes(self) -> bool:
         """Whether unread bytes wait."""
-        return bool(self._pieces)
+        return bool(self._chunks)
 
-    def watch(self, callback: Callable[[], None] | None) -> None:
+    def set_close_callback(self, callback: Callable[[], None] | None) -> None:
         """Set what is called when the caller leaves."""
-        self._watcher = callback
+        self._on_close = callback
         if callback is not None and self.is_closed:
             callback()
 
@@ -68,19 +68,19 @@
         CallerTimeoutError
             When none come in time.
         """
-        while not self._pieces and not self.is_closed:
-            self._news.clear()
-            if not self._news.wait(seconds):
+        while not self._chunks and not self.is_closed:
+            self._data_ready.clear()
+            if not self._data_ready.wait(seconds):
                 raise CallerTimeoutError
-        data = b"".join(self._pieces)
-        self._pieces.clear()
+        data = b"".join(self._chunks)
+        self._chunks.clear()
         self._size = 0
-        self._room.set()
+        self._space_ready.set()
         return data
 
     def stop(self) -> None:
         """Read no more."""
-        self._watcher = None
+        self._on_close = None
         self._reader.kill(block=False)
 
     def _read(self) -> None:
@@ -91,16 +91,16 @@
                 data = b""
             if not data:
                 break
-            self._pieces.append(data)
+            self._chunks.append(data)
             self._size += len(data)
-            self._news.set()
+            self._data_ready.set()
             while self._size > MAX_UNREAD_BYTES:
-                self._room.clear()
-                self._room.wait()
+                self._space_ready.clear()
+                self._space_ready.wait()
         self.is_closed = True
-        self._news.set()
-        if self._watcher is not None:
-            self._watcher()
+        self._data_ready.set()
+        if self._on_close is not None:
+            self._on_close()
 
 
 class Exchange:
@@ -128,28 +128,28 @@
             *response.headers,
             (b"content-length", str(len(response.body)).encode()),
         ]
-        self._begin(response.status, headers)
+        self._prepare_head(response.status, headers)
         data = [h11.Data(response.body)] if response.body else []
-        self._connection.send(*data, h11.EndOfMessage(), after=self._head)
+        self._connection.send(*data, h11.EndOfMessage(), prefix=self._head)
         self.is_finished = True
 
-    def begin_stream(self, status: int, headers: Headers) -> None:
+    def start_stream(self, status: int, headers: Headers) -> None:
         """Send the head of an answer that follows in pieces."""
-        self._begin(status, [*headers, (b"transfer-encoding", b"chunked")])
-        self._connection.send(after=self._head)
+        self._prepare_head(status, [*headers, (b"transfer-encoding", b"chunked")])
+        self._connection.send(prefix=self._head)
 
-    def send_piece(self, piece: bytes) -> None:
+    def send_chunk(self, chunk: bytes) -> None:
         """Send a piece of the answer."""
-        self._connection.send(h11.Data(piece))
+        self._connection.send(h11.Data(chunk))
 
     def end_stream(self) -> None:
         """Say that the answer is complete."""
         self._connection.send(h11.EndOfMessage())
         self.is_finished = True
 
-    def _begin(self, status: int, headers: Headers) -> None:
+    def _prepare_head(self, status: int, headers: Headers) -> None:
         self.status = status
-        if self._connection.is_last:
+        if self._connection.closes_after_response:
             headers = [*headers, (b"connection", b"close")]
         self._head = self._connection.encode(
             h11.Response(status_code=status, headers=headers)
@@ -165,32 +165,32 @@
     def __init__(self, server: "HttpServer", sock: Socket) -> None:
         self._server = server
         self._sock = sock
-        self._inbound = Inbound(sock)
+        self._inbound = ReadAheadBuffer(sock)
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=server.limits().header_bytes
         )
         self._first_byte_at = Seconds(0.0)
         self.is_busy = False
-        self._is_ended = False
+        self._is_shut_down = False
 
     @property
-    def is_last(self) -> bool:
+    def closes_after_response(self) -> bool:
         """Whether the connection ends with this answer."""
         return self._server.is_closing
 
     def run(self) -> None:
         """Serve until either side closes."""
         self._sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
-        self._sock.settimeout(SEND_SECONDS)
+        self._sock.settimeout(SEND_TIMEOUT_SECONDS)
         try:
-            while self._serve_one():
+            while self._serve_request():
                 self._http.start_next_cycle()
-        except CallerGoneError:
+        except CallerDisconnectedError:
             pass
         except CallerTimeoutError:
-            self._refuse_slow()
+            self._reject_timeout()
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint or 400)
+            self._reject(error.error_status_hint or 400)
         except OSError as error:
             log_event("caller", "Connection lost.", reason=str(error))
         finally:
@@ -204,7 +204,7 @@
         """
         if self.is_busy or self._inbound.has_bytes or is_readable(self._sock):
             return
-        self._is_ended = True
+        self._is_shut_down = True
         with suppress(OSError):
             self._sock.shutdown(SHUT_WR)
 
@@ -212,30 +212,30 @@
         """Return an event as bytes."""
         return self._http.send(event)
 
-    def send(self, *events: h11.Event, after: bytes = b"") -> None:
+    def send(self, *events: h11.Event, prefix: bytes = b"") -> None:
         """Send bytes and events together."""
-        data = [after, *(self._http.send(event) for event in events)]
+        data = [prefix, *(self._http.send(event) for event in events)]
         self._sock.sendall(b"".join(data))
 
-    def _serve_one(self) -> bool:
+    def _serve_request(self) -> bool:
         request = self._read_request()
-        if request is None or self._is_ended:
+        if request is None or self._is_shut_down:
             return False
         exchange = Exchange(self, request)
         self.is_busy = True
         worker = getcurrent()
-        self._inbound.watch(lambda: _interrupt(worker))
+        self._inbound.set_close_callback(lambda: _interrupt(worker))
         try:
             self._server.handler(exchange)
         finally:
-            self._inbound.watch(None)
+            self._inbound.set_close_callback(None)
             self.is_busy = False
-        if not exchange.is_finished or self._may_end_now():
+        if not exchange.is_finished or self._can_close_now():
             return False
         states = self._http.states
         return states[h11.SERVER] is h11.DONE and states[h11.CLIENT] is h11.DONE
 
-    def _may_end_now(self) -> bool:
+    def _can_close_now(self) -> bool:
         """Whether a process that stops can close between two requests.
 
         The head of an answer that began before the stop did not announce it.
@@ -279,18 +279,18 @@
 
     def _receive(self, has_head: bool) -> None:
         limits = self._server.limits()
-        waits = not has_head and not self._http.trailing_data[0]
-        seconds = limits.idle_seconds if waits or has_head else limits.header_seconds
+        is_idle = not has_head and not self._http.trailing_data[0]
+        seconds = limits.idle_seconds if is_idle or has_head else limits.header_seconds
         data = self._inbound.receive(seconds)
-        if waits:
+        if is_idle:
             self._first_byte_at = self._server.clock()
         self._http.receive_data(data)
 
-    def _refuse_slow(self) -> None:
+    def _reject_timeout(self) -> None:
         if self._http.trailing_data[0] or self._http.their_state is h11.SEND_BODY:
-            self._refuse(408)
+            self._reject(408)
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         log_event("caller", "Request refused.", status=status)
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -316,7 +316,7 @@
 
 
 def _interrupt(worker: Greenlet) -> None:
-    worker.kill(CallerGoneError, block=False)
+    worker.kill(CallerDisconnectedError, block=False)
 
 
 class HttpServer:
@@ -348,7 +348,7 @@
         self._listen = listen
         self._connections: set[CallerConnection] = set()
         self._server = StreamServer(
-            (listen.host, listen.port), self._take, backlog=BACKLOG
+            (listen.host, listen.port), self._serve, backlog=BACKLOG
         )
 
     @property
@@ -357,7 +357,7 @@
         return self._server.server_port
 
     @property
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         """Requests that are being answered."""
         return sum(connection.is_busy for connection in self._connections)
 
@@ -383,14 +383,14 @@
         """Answer a request; an unforeseen error ends its connection."""
         try:
             self._handler(exchange)
-        except (CallerGoneError, GreenletExit, OSError):
+        except (CallerDisconnectedError, GreenletExit, OSError):
             raise
         except Exception as error:
             log_failure("caller", "Request failed inside.", reason=repr(error))
             if not exchange.status:
                 exchange.answer(HttpResponse(502, []))
 
-    def _take(self, sock: Socket, address: tuple[str, int]) -> None:
+    def _serve(self, sock: Socket, address: tuple[str, int]) -> None:
         connection = CallerConnection(self, sock)
         self._connections.add(connection)
         try:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
@@ -9,18 +9,21 @@
     Answered,
     Attempt,
     Delivered,
+    MayHaveRun,
     Outcome,
-    Unclear,
 )
-from bergamotwood_daemon.gateway.client import BrokenError, SilentError
+from bergamotwood_daemon.gateway.client import (
+    ConnectionBrokenError,
+    ResponseTimeoutError,
+)
 from bergamotwood_daemon.gateway.entry import GatewayEntry
 from bergamotwood_daemon.gateway.message import strip_connection_fields
 from bergamotwood_daemon.gateway.server import Exchange
 
 # Silence, in pauses that callers want at most, after which a stream goes on at
 # another endpoint. Callers give up after eight.
-SILENT_GAPS = 3.0
-LEAST_SILENCE_SECONDS = 2.0
+IDLE_TIMEOUT_GAPS = 3.0
+MIN_IDLE_TIMEOUT_SECONDS = 2.0
 
 
 class StreamRelay:
@@ -37,57 +40,57 @@
 
     Attributes
     ----------
-    has_begun : bool
+    has_started : bool
         Whether the caller has the head of the answer.
     events : int
         Events of the response that is passed on.
     """
 
     def __init__(self, entry: GatewayEntry, call: Call, exchange: Exchange) -> None:
-        self.has_begun = False
+        self.has_started = False
         self.events = 0
         self._entry = entry
         self._call = call
         self._exchange = exchange
 
-    def pass_on(self, attempt: Attempt, head: h11.Response) -> Outcome:
+    def forward(self, attempt: Attempt, head: h11.Response) -> Outcome:
         """Pass an endpoint's response on until it ends or fails."""
         if not 200 <= head.status_code < 300:
-            return self._collect_failure(attempt, head)
+            return self._read_error(attempt, head)
         splitter = EventSplitter()
         self.events = 0
         try:
             while True:
-                event = attempt.receive(self._measure_patience())
+                event = attempt.receive(self._compute_read_timeout())
                 if isinstance(event, h11.EndOfMessage):
                     break
                 self._send(splitter.feed(bytes(event.data)), head)
-        except BrokenError as error:
-            return Unclear(str(error), Result.BROKEN)
-        except SilentError as error:
-            return Unclear(str(error), Result.SILENT)
+        except ConnectionBrokenError as error:
+            return MayHaveRun(str(error), Result.BROKEN)
+        except ResponseTimeoutError as error:
+            return MayHaveRun(str(error), Result.SILENT)
         if splitter.has_rest:
-            return Unclear("ended within an event", Result.BROKEN)
-        self._begin(head)
-        attempt.keep_connection()
+            return MayHaveRun("ended within an event", Result.BROKEN)
+        self._start_response(head)
+        attempt.release_connection()
         self._exchange.end_stream()
         return Delivered()
 
-    def _collect_failure(self, attempt: Attempt, head: h11.Response) -> Outcome:
-        outcome = attempt.collect(head, self._measure_patience)
-        if self.has_begun and isinstance(outcome, Answered):
-            return Unclear(outcome.reason, Result.ERROR)
+    def _read_error(self, attempt: Attempt, head: h11.Response) -> Outcome:
+        outcome = attempt.read_body(head, self._compute_read_timeout)
+        if self.has_started and isinstance(outcome, Answered):
+            return MayHaveRun(outcome.reason, Result.ERROR)
         return outcome
 
     def _send(self, events: list[StreamEvent], head: h11.Response) -> None:
         self.events += len(events)
-        fresh = [event for event in events if self._is_new(event)]
-        if not fresh:
+        new_events = [event for event in events if self._mark_if_new(event)]
+        if not new_events:
             return
-        self._begin(head)
-        self._exchange.send_piece(b"".join(event.data for event in fresh))
+        self._start_response(head)
+        self._exchange.send_chunk(b"".join(event.data for event in new_events))
 
-    def _is_new(self, event: StreamEvent) -> bool:
+    def _mark_if_new(self, event: StreamEvent) -> bool:
         """Note an event; one that the caller has already is left out."""
         if event.id is None:
             return True
@@ -96,19 +99,19 @@
             return True
         return False
 
-    def _begin(self, head: h11.Response) -> None:
-        if self.has_begun:
+    def _start_response(self, head: h11.Response) -> None:
+        if self.has_started:
             return
-        self.has_begun = True
+        self.has_started = True
         headers = strip_connection_fields(list(head.headers))
-        self._exchange.begin_stream(head.status_code, headers)
+        self._exchange.start_stream(head.status_code, headers)
 
-    def _measure_patience(self) -> float:
+    def _compute_read_timeout(self) -> float:
         left = self._call.deadline - self._entry.clock()
         if not self._call.route.resumable:
             return left
-        gap = SILENT_GAPS * self._call.route.event_gap_seconds
-        return min(left, max(gap, LEAST_SILENCE_SECONDS))
+        timeout = IDLE_TIMEOUT_GAPS * self._call.route.event_gap_seconds
+        return min(left, max(timeout, MIN_IDLE_TIMEOUT_SECONDS))
 
 
 def _is_after(event: str, last: str) -> bool:
--- a/tests/daemon/gateway/conftest.py
+++ b/tests/daemon/gateway/conftest.py
@@ -1,16 +1,16 @@
 import pytest
-from daemon.gateway.desk import Desk
+from daemon.gateway.harness import GatewayHarness
 
 
 @pytest.fixture
-def make_desk():
-    desks = []
+def make_harness():
+    harnesses = []
 
-    def make(configuration=None, learn=True, **endpoints):
-        desk = Desk(configuration, **endpoints)
-        desks.append(desk)
-        return desk.learn() if learn else desk
+    def make(configuration=None, is_synced=True, **endpoints):
+        harness = GatewayHarness(configuration, **endpoints)
+        harnesses.append(harness)
+        return harness.sync() if is_synced else harness
 
     yield make
-    for desk in desks:
-        desk.stop()
+    for harness in harnesses:
+        harness.stop()
--- a/tests/daemon/gateway/desk.py
+++ b/tests/daemon/gateway/harness.py
@@ -24,7 +24,7 @@
 from bergamotwood_daemon.gateway.entry import GatewayEntry
 from bergamotwood_daemon.gateway.forwarder import Forwarder
 from bergamotwood_daemon.gateway.message import find_field
-from bergamotwood_daemon.gateway.peering import SyncReply
+from bergamotwood_daemon.gateway.peermessages import SyncReply
 from bergamotwood_daemon.gateway.server import HttpServer
 from bergamotwood_daemon.gateway.settings import GatewaySettings
 
@@ -88,7 +88,7 @@
         self.target = head.target.decode()
         self.headers = {n.decode(): v.decode() for n, v in head.headers}
         self.body = body
-        self.is_left = False
+        self.is_disconnected = False
 
     def send(self, text):
         self.sock.sendall(text.encode())
@@ -117,7 +117,7 @@
     def end_events(self):
         self.send("0\r\n\r\n")
 
-    def wait_for_end(self):
+    def wait_for_close(self):
         """Return whether the router closes the connection."""
         self.sock.settimeout(WAIT_SECONDS)
         return self.sock.recv(1) == b""
@@ -257,12 +257,12 @@
             self.http.receive_data(b"")
 
 
-class Desk:
+class GatewayHarness:
     """An entry with a configuration and fake endpoints."""
 
     def __init__(self, configuration=None, **endpoints):
         self.configuration = configuration or make_configuration()
-        self.offset = 0.0
+        self.clock_offset = 0.0
         settings = GatewaySettings(
             InstanceId("127.0.0.1:1"),
             "entry",
@@ -291,16 +291,16 @@
         self.server = HttpServer(
             Address("127.0.0.1", 0),
             Forwarder(self.entry).handle,
-            lambda: self.entry.belief.limits,
+            lambda: self.entry.control_state.limits,
             read_clock,
         )
         self.server.start()
         self.callers = []
 
     def read_time(self):
-        return read_clock() + self.offset
+        return read_clock() + self.clock_offset
 
-    def learn(self, number=None, **changes):
+    def sync(self, number=None, **changes):
         """Let the entry hear from the control group."""
         values = {
             "age_seconds": 0.0,
@@ -313,7 +313,9 @@
             "beats": tuple(self.beats),
             "entries": (),
         }
-        self.entry.belief.take(SyncReply(**{**values, **changes}), self.read_time())
+        self.entry.control_state.update(
+            SyncReply(**{**values, **changes}), self.read_time()
+        )
         return self
 
     def connect(self):
@@ -335,5 +337,5 @@
             for arrival in endpoint.arrivals
         ]
 
-    def forget_endpoint(self, name):
-        del self.entry.belief.beats[EndpointId(name)]
+    def remove_endpoint(self, name):
+        del self.entry.control_state.beats[EndpointId(name)]
--- /dev/null
+++ b/tests/daemon/gateway/test_controlstate.py
@@ -0,0 +1,89 @@
+from core.gateway.samples import make_configuration
+from daemon.gateway.harness import PlainDialect
+from msgspec.structs import replace
+
+from bergamotwood_core.clock import Seconds
+from bergamotwood_core.gateway.machine import (
+    RolloutOutcome,
+    ServiceRollout,
+    pack_document,
+)
+from bergamotwood_core.gateway.rollout import RolloutView
+from bergamotwood_core.ids import LogIndex, ServiceName
+from bergamotwood_daemon.gateway.controlstate import ControlState
+from bergamotwood_daemon.gateway.peermessages import SyncReply
+
+SERVICE = ServiceName("models")
+
+
+class Clock:
+    now = 100.0
+
+    def __call__(self):
+        return Seconds(self.now)
+
+
+def make_control_state(number=5):
+    dialect = PlainDialect(make_configuration(number=number))
+    clock = Clock()
+    return ControlState(dialect, clock, 4.0), dialect, clock
+
+
+def make_reply(number=5, document=b"x", **changes):
+    reply = SyncReply(
+        age_seconds=0.2,
+        replicas=("c:1",),
+        number=number,
+        document=pack_document(document) if document else None,
+        rollouts=(),
+        boot="b",
+        version=1,
+        beats=(),
+        entries=(),
+    )
+    return replace(reply, **changes)
+
+
+def test_the_age_counts_from_when_the_request_was_sent():
+    control_state, _, clock = make_control_state()
+    control_state.update(make_reply(), Seconds(99.0))
+    assert round(control_state.age, 3) == 1.2
+    control_state.update(make_reply(document=None), Seconds(98.0))
+    assert round(control_state.age, 3) == 1.2
+    clock.now += 3.0
+    assert round(control_state.age, 3) == 4.2
+
+
+def test_an_older_configuration_never_replaces_a_newer_one():
+    control_state, dialect, clock = make_control_state(7)
+    control_state.update(make_reply(7), clock())
+    age = control_state.age
+    dialect.configuration = make_configuration(number=5)
+    clock.now += 1.0
+    control_state.update(make_reply(5), clock())
+    assert control_state.number == 7
+    # The replica is behind, so what it confirms says nothing of number 7.
+    assert control_state.age == age + 1.0
+
+
+def test_an_unreadable_document_changes_neither_routing_nor_age():
+    control_state, _, clock = make_control_state()
+    control_state.update(make_reply(document=None, number=5), clock())
+    assert control_state.routing is None
+    control_state.update(replace(make_reply(), document=b"not compressed"), clock())
+    assert control_state.routing is None
+    assert control_state.age == float("inf")
+
+
+def test_a_share_never_shrinks_while_a_rollout_is_in_progress():
+    control_state, _, clock = make_control_state()
+    rollout = ServiceRollout(
+        SERVICE, "v2", 20.0, RolloutOutcome.IN_PROGRESS, LogIndex(4), 0.0
+    )
+    for share in (0.1, 0.5, 0.2):
+        view = RolloutView(rollout, 3.0, share)
+        control_state.update(make_reply(rollouts=(view,)), clock())
+    assert control_state.rollouts[SERVICE].share == 0.5
+    ended = replace(rollout, outcome=RolloutOutcome.ROLLED_BACK)
+    control_state.update(make_reply(rollouts=(RolloutView(ended, 4.0, 0.0),)), clock())
+    assert control_state.rollouts[SERVICE].share == 0.0
--- a/tests/daemon/gateway/test_entries.py
+++ b/tests/daemon/gateway/test_entries.py
@@ -9,8 +9,8 @@
     InstanceId,
     SessionId,
 )
-from bergamotwood_daemon.gateway.entries import SILENCE_SECONDS, EntryTable
-from bergamotwood_daemon.gateway.peering import EntryAddress, EntryStatus
+from bergamotwood_daemon.gateway.entries import ENTRY_EXPIRY_SECONDS, EntryTable
+from bergamotwood_daemon.gateway.peermessages import EntryAddress, EntryStatus
 
 ENGINE = EndpointId("e-1")
 
@@ -37,40 +37,40 @@
     )
 
 
-def test_an_entry_is_told_the_load_that_the_others_make():
+def test_an_entry_receives_the_load_of_all_other_entries():
     table = EntryTable(Clock())
-    table.take(make_status(1, load=EndpointLoad(2, 0.5)))
-    table.take(make_status(2, load=EndpointLoad(1, 0.25)))
+    table.update(make_status(1, load=EndpointLoad(2, 0.5)))
+    table.update(make_status(2, load=EndpointLoad(1, 0.25)))
     assert table.list_loads(InstanceId("i1")) == {ENGINE: EndpointLoad(1, 0.25)}
     assert table.list_loads(InstanceId("i3")) == {ENGINE: EndpointLoad(3, 0.75)}
-    table.take(make_status(1, 2))
+    table.update(make_status(1, 2))
     assert table.list_loads(InstanceId("i3")) == {ENGINE: EndpointLoad(1, 0.25)}
 
 
-def test_a_late_report_of_an_entry_changes_nothing():
+def test_an_outdated_status_is_ignored():
     table = EntryTable(Clock())
-    assert table.take(make_status(1, 2, load=EndpointLoad(1, 0.25)))
-    assert not table.take(make_status(1, 1, load=EndpointLoad(9, 9.0)))
+    assert table.update(make_status(1, 2, load=EndpointLoad(1, 0.25)))
+    assert not table.update(make_status(1, 1, load=EndpointLoad(9, 9.0)))
     assert table.list_loads(InstanceId("i2")) == {ENGINE: EndpointLoad(1, 0.25)}
 
 
-def test_the_load_of_an_entry_that_falls_silent_is_gone():
+def test_an_entry_that_stops_reporting_is_removed_with_its_load():
     clock = Clock()
     table = EntryTable(clock)
-    table.take(make_status(1, load=EndpointLoad(1, 0.25)))
-    clock.now += SILENCE_SECONDS + 0.1
-    table.take(make_status(2))
+    table.update(make_status(1, load=EndpointLoad(1, 0.25)))
+    clock.now += ENTRY_EXPIRY_SECONDS + 0.1
+    table.update(make_status(2))
     table.expire()
     assert table.list_loads(InstanceId("i2")) == {}
     assert [entry.address for entry in table.list_addresses()] == ["i2:80"]
 
 
-def test_crashes_and_open_sessions_are_passed_on_once():
+def test_crashes_and_open_sessions_are_listed_once():
     crash = Crash(Fingerprint("f"), ENGINE, Incarnation(1), 0.5)
     table = EntryTable(Clock())
     sessions = (SessionId("s1"), SessionId("s2"))
-    table.take(make_status(1, crashes=(crash,), open_sessions=sessions))
-    table.take(make_status(2, open_sessions=sessions[:1]))
+    table.update(make_status(1, crashes=(crash,), open_sessions=sessions))
+    table.update(make_status(2, open_sessions=sessions[:1]))
     assert table.list_crashes(InstanceId("i1")) == ()
     assert table.list_crashes(InstanceId("i2")) == (crash,)
     assert table.list_open_sessions() == sessions
--- a/tests/daemon/gateway/test_explanation.py
+++ b/tests/daemon/gateway/test_explanation.py
@@ -31,40 +31,46 @@
     return make_configuration(routes=(make_route(**changes),))
 
 
-def test_a_refusal_under_overload(make_desk, logged, tmp_path):
+def test_explain_shows_every_attempt_of_a_refused_request(
+    make_harness, logged, tmp_path
+):
     def refuse(arrival):
         arrival.answer("", 503, not_run="1")
 
-    desk = make_desk(configure(), one=refuse, two=refuse)
-    assert desk.connect().call(id="q-full").status == 503
-    story = explain(logged, "q-full", tmp_path)
-    attempts = [line for line in story if "attempt: Attempt failed." in line]
+    harness = make_harness(configure(), one=refuse, two=refuse)
+    assert harness.connect().call(id="q-full").status == 503
+    explanation = explain(logged, "q-full", tmp_path)
+    attempts = [line for line in explanation if "attempt: Attempt failed." in line]
     assert len(attempts) == 2
     assert all("result=full" in line for line in attempts)
-    assert "request: Refused." in story[-1]
-    assert "run=not_run" in story[-1]
-    assert "retry_after=" in story[-1]
+    assert "request: Refused." in explanation[-1]
+    assert "run=not_run" in explanation[-1]
+    assert "retry_after=" in explanation[-1]
 
 
-def test_an_outcome_that_is_unknown_after_an_endpoint_died(make_desk, logged, tmp_path):
+def test_explain_shows_that_a_failed_request_may_have_run(
+    make_harness, logged, tmp_path
+):
     route = configure(kind=RouteKind.NON_IDEMPOTENT, max_attempts=1)
-    desk = make_desk(route, one=lambda arrival: False)
-    assert desk.connect().call("POST", id="q-lost", body=b"pay").status == 502
-    story = explain(logged, "q-lost", tmp_path)
-    assert "result=broken" in story[0]
-    assert "endpoint=one" in story[0]
-    assert "run=may_have_run" in story[-1]
+    harness = make_harness(route, one=lambda arrival: False)
+    assert harness.connect().call("POST", id="q-lost", body=b"pay").status == 502
+    explanation = explain(logged, "q-lost", tmp_path)
+    assert "result=broken" in explanation[0]
+    assert "endpoint=one" in explanation[0]
+    assert "run=may_have_run" in explanation[-1]
 
 
-def test_a_key_refused_right_after_a_change(make_desk, logged, tmp_path):
-    desk = make_desk(one=lambda arrival: arrival.answer())
-    assert desk.connect().call(id="q-before").status == 200
-    desk.configuration = make_configuration(
+def test_explain_shows_which_configuration_refused_a_key(
+    make_harness, logged, tmp_path
+):
+    harness = make_harness(one=lambda arrival: arrival.answer())
+    assert harness.connect().call(id="q-before").status == 200
+    harness.configuration = make_configuration(
         number=9, holders=(KeyHolder(WorkspaceId("circle"), ("key-2",)),)
     )
-    desk.entry.dialect.configuration = desk.configuration
-    desk.learn()
-    assert desk.connect().call(id="q-after").status == 401
+    harness.entry.dialect.configuration = harness.configuration
+    harness.sync()
+    assert harness.connect().call(id="q-after").status == 401
     before = explain(logged, "q-before", tmp_path)[-1]
     after = explain(logged, "q-after", tmp_path)[-1]
     assert "configuration=3" in before
--- a/tests/daemon/gateway/test_replica.py
+++ b/tests/daemon/gateway/test_replica.py
@@ -2,7 +2,7 @@
 
 import pytest
 from core.gateway.samples import PLAIN, make_beat, make_configuration, make_route
-from daemon.gateway.desk import PlainDialect
+from daemon.gateway.harness import PlainDialect
 from gevent import Timeout, sleep
 from msgspec.structs import replace
 
@@ -20,8 +20,9 @@
 from bergamotwood_core.states import EndpointState, Run
 from bergamotwood_daemon.clock import read_clock
 from bergamotwood_daemon.gateway import channels
-from bergamotwood_daemon.gateway.belief import Belief
-from bergamotwood_daemon.gateway.peering import (
+from bergamotwood_daemon.gateway.controlpoller import ControlPoller
+from bergamotwood_daemon.gateway.controlstate import ControlState
+from bergamotwood_daemon.gateway.peermessages import (
     ENCODER,
     SYNC_REPLY,
     EntryAddress,
@@ -30,7 +31,6 @@
 )
 from bergamotwood_daemon.gateway.replica import GatewayReplica
 from bergamotwood_daemon.gateway.settings import GatewaySettings
-from bergamotwood_daemon.gateway.watch import ControlWatch
 from bergamotwood_daemon.peer import POLL, PROPOSE, QUERY, REPLICATE
 
 WAIT_SECONDS = 20.0
@@ -73,13 +73,13 @@
 
 
 class Fleet:
-    """Three replicas on loopback, and entries that watch them."""
+    """Three replicas on loopback, and entries that poller them."""
 
     def __init__(self, tmp_path):
         self.dialect = NumberDialect(make_configuration())
         self.seeds = tuple(InstanceId(f"c{at}:1") for at in range(3))
         self.replicas = {}
-        self.watches = []
+        self.pollers = []
         self.folder = tmp_path
         for seed in self.seeds:
             self.start(seed)
@@ -110,41 +110,41 @@
                 return seed, replica
         return None, None
 
-    def watch(self):
-        belief = Belief(self.dialect, read_clock, 4.0)
-        at = len(self.watches)
+    def add_entry(self):
+        control_state = ControlState(self.dialect, read_clock, 4.0)
+        at = len(self.pollers)
         name = InstanceId(f"127.0.0.1:{at + 1}")
 
-        def describe():
-            describe.sequence += 1
+        def make_status():
+            make_status.sequence += 1
             entry = EntryAddress(name, f"e{at}:80", "karen", True)
-            return EntryStatus(entry, Incarnation(1), describe.sequence, {})
+            return EntryStatus(entry, Incarnation(1), make_status.sequence, {})
 
-        describe.sequence = 0
-        watch = ControlWatch(
-            belief, describe, lambda: self.seeds, list, read_clock, Random(at)
+        make_status.sequence = 0
+        poller = ControlPoller(
+            control_state, make_status, lambda: self.seeds, list, read_clock, Random(at)
         )
-        watch.start()
-        self.watches.append(watch)
-        return belief
+        poller.start()
+        self.pollers.append(poller)
+        return control_state
 
     def wait_for(self, is_met):
         with Timeout(WAIT_SECONDS):
             while not is_met():
                 sleep(0.02)
 
-    def insist(self, act):
+    def retry(self, action):
         """Repeat an order until it is answered, as operators do."""
         with Timeout(WAIT_SECONDS):
             while True:
                 try:
-                    return act()
+                    return action()
                 except ReplicationError:
                     sleep(0.05)
 
     def stop(self):
-        for watch in self.watches:
-            watch.stop()
+        for poller in self.pollers:
+            poller.stop()
         for seed in list(self.replicas):
             self.kill(seed)
 
@@ -157,20 +157,20 @@
     fleet.stop()
 
 
-def test_a_change_at_any_replica_is_in_force_everywhere(fleet):
-    belief = fleet.watch()
+def test_a_configuration_sent_to_a_follower_reaches_all_replicas(fleet):
+    control_state = fleet.add_entry()
     _, follower = fleet.find(leads=False)
     with pytest.raises(RefusedError):
-        fleet.insist(follower.read_configuration)
-    assert fleet.insist(lambda: follower.replace_configuration(b"7")).changed
-    assert not fleet.insist(lambda: follower.replace_configuration(b"5")).changed
+        fleet.retry(follower.read_configuration)
+    assert fleet.retry(lambda: follower.replace_configuration(b"7")).changed
+    assert not fleet.retry(lambda: follower.replace_configuration(b"5")).changed
     for replica in fleet.replicas.values():
-        assert fleet.insist(replica.read_configuration) == b"7"
-    fleet.wait_for(lambda: belief.number == 7)
-    assert belief.age < 2.0
+        assert fleet.retry(replica.read_configuration) == b"7"
+    fleet.wait_for(lambda: control_state.number == 7)
+    assert control_state.age < 2.0
 
 
-def test_an_invalid_change_is_refused_and_changes_nothing(fleet):
+def test_an_invalid_configuration_is_refused_and_changes_nothing(fleet):
     _, leader = fleet.find(leads=True)
     routes = (make_route(timeout_seconds=0.0), make_route())
     fleet.dialect.configuration = make_configuration(routes=routes)
@@ -179,87 +179,93 @@
     assert "2 routes" in caught.value.detail
     assert caught.value.code is Code.TICKET_INVALID
     with pytest.raises(RefusedError):
-        fleet.insist(leader.read_configuration)
+        fleet.retry(leader.read_configuration)
 
 
-def test_an_acknowledged_departure_is_known_at_every_entry(fleet):
-    fleet.insist(lambda: fleet.find(leads=True)[1].replace_configuration(b"7"))
-    beliefs = [fleet.watch() for _ in range(3)]
+def test_an_acknowledged_departure_reaches_every_entry(fleet):
+    fleet.retry(lambda: fleet.find(leads=True)[1].replace_configuration(b"7"))
+    control_states = [fleet.add_entry() for _ in range(3)]
     seeds = list(fleet.replicas)
-    fleet.replicas[seeds[0]].take_beat(make_beat())
+    fleet.replicas[seeds[0]].record_heartbeat(make_beat())
     endpoint = EndpointId("e-1")
-    fleet.wait_for(lambda: all(endpoint in belief.beats for belief in beliefs))
+    fleet.wait_for(
+        lambda: all(endpoint in control_state.beats for control_state in control_states)
+    )
     leaving = make_beat(sequence=Sequence(2), state=EndpointState.LEAVING)
-    fleet.insist(lambda: fleet.replicas[seeds[1]].take_beat(leaving))
-    fleet.wait_for(lambda: not any(endpoint in belief.beats for belief in beliefs))
-    fleet.replicas[seeds[2]].take_beat(make_beat(sequence=Sequence(3)))
+    fleet.retry(lambda: fleet.replicas[seeds[1]].record_heartbeat(leaving))
+    fleet.wait_for(
+        lambda: (
+            not any(endpoint in control_state.beats for control_state in control_states)
+        )
+    )
+    fleet.replicas[seeds[2]].record_heartbeat(make_beat(sequence=Sequence(3)))
     sleep(0.3)
-    assert not any(endpoint in belief.beats for belief in beliefs)
+    assert not any(endpoint in control_state.beats for control_state in control_states)
 
 
-def test_entries_name_each_other_until_one_falls_silent(fleet):
-    fleet.insist(lambda: fleet.find(leads=True)[1].replace_configuration(b"7"))
-    first, second = fleet.watch(), fleet.watch()
+def test_entries_list_each_other_until_one_stops_reporting(fleet):
+    fleet.retry(lambda: fleet.find(leads=True)[1].replace_configuration(b"7"))
+    first, second = fleet.add_entry(), fleet.add_entry()
     fleet.wait_for(lambda: len(first.entries) == len(second.entries) == 2)
-    fleet.watches.pop().stop()
+    fleet.pollers.pop().stop()
     fleet.wait_for(lambda: len(first.entries) == 1)
 
 
-def ask(replica, number, hold_seconds=0.0, version=-1, boot=""):
+def send_report(replica, number, hold_seconds=0.0, version=-1, boot=""):
     """Return the bytes of the answer to one entry's report."""
     status = EntryStatus(
         EntryAddress(InstanceId(f"127.0.0.1:{number}"), f"e{number}:80", "karen", True),
         Incarnation(1),
-        ask.sequence,
+        send_report.sequence,
         {EndpointId(f"e-{at}"): EndpointLoad(2, 0.125) for at in range(10)},
     )
-    ask.sequence += 1
+    send_report.sequence += 1
     request = SyncRequest(status, -1, boot, version, hold_seconds)
     return replica.handle_poll(ENCODER.encode(request))
 
 
-ask.sequence = 1
+send_report.sequence = 1
 
 
-def test_an_entry_is_not_sent_what_it_knows(fleet):
+def test_an_entry_is_not_sent_unchanged_state_again(fleet):
     """Answers a fleet of many entries: what each is sent must not grow with them."""
     _, leader = fleet.find(leads=True)
     for number in range(1, 3):
-        ask(leader, number)
-    news = SYNC_REPLY.decode(ask(leader, 1))
-    few = len(ask(leader, 1, version=news.version, boot=news.boot))
+        send_report(leader, number)
+    news = SYNC_REPLY.decode(send_report(leader, 1))
+    few = len(send_report(leader, 1, version=news.version, boot=news.boot))
     for number in range(3, 100):
-        ask(leader, number)
-    news = SYNC_REPLY.decode(ask(leader, 1))
+        send_report(leader, number)
+    news = SYNC_REPLY.decode(send_report(leader, 1))
     assert len(news.entries) == 99
-    answer = ask(leader, 1, version=news.version, boot=news.boot)
+    answer = send_report(leader, 1, version=news.version, boot=news.boot)
     assert SYNC_REPLY.decode(answer).entries is None
     assert SYNC_REPLY.decode(answer).loads["e-1"].requests == 2 * 98
     # Larger numbers take some bytes more.
     assert len(answer) < 1.5 * few
 
 
-def test_nothing_is_lost_with_the_leader_and_its_disk(fleet):
-    belief = fleet.watch()
+def test_committed_state_survives_losing_the_leader_and_its_disk(fleet):
+    control_state = fleet.add_entry()
     leader, replica = fleet.find(leads=True)
-    fleet.insist(lambda: replica.replace_configuration(b"7"))
-    fleet.insist(lambda: replica.begin_rollout(PLAIN, "v2", 60.0))
+    fleet.retry(lambda: replica.replace_configuration(b"7"))
+    fleet.retry(lambda: replica.begin_rollout(PLAIN, "v2", 60.0))
     fleet.kill(leader)
     for path in (fleet.folder / leader.replace(":", "-")).rglob("*"):
         if path.is_file():
             path.unlink()
     fleet.start(leader, forms_group=False)
     wiped = fleet.replicas[leader]
-    assert fleet.insist(wiped.read_configuration) == b"7"
-    rollout = fleet.insist(lambda: wiped.find_rollout(PLAIN))
+    assert fleet.retry(wiped.read_configuration) == b"7"
+    rollout = fleet.retry(lambda: wiped.find_rollout(PLAIN))
     assert (rollout.target, rollout.outcome) == ("v2", RolloutOutcome.IN_PROGRESS)
     fleet.wait_for(lambda: wiped.group.is_voter)
-    fleet.wait_for(lambda: belief.number == 7 and belief.age < 1.0)
+    fleet.wait_for(lambda: control_state.number == 7 and control_state.age < 1.0)
 
 
-def test_without_a_majority_nothing_is_acknowledged_or_read(fleet):
+def test_writes_and_reads_fail_without_a_majority(fleet):
     _, leader = fleet.find(leads=True)
-    fleet.insist(lambda: leader.replace_configuration(b"7"))
+    fleet.retry(lambda: leader.replace_configuration(b"7"))
     followers = [s for s, r in fleet.replicas.items() if not r.group.is_leader]
     for seed in followers:
         fleet.kill(seed)
--- a/tests/daemon/gateway/test_rollouts.py
+++ b/tests/daemon/gateway/test_rollouts.py
@@ -12,7 +12,7 @@
 )
 from bergamotwood_core.ids import LogIndex
 from bergamotwood_daemon.gateway.entries import EntryTable
-from bergamotwood_daemon.gateway.rollouts import VIEW_SECONDS, RolloutControl
+from bergamotwood_daemon.gateway.rollouts import VIEW_CACHE_SECONDS, RolloutController
 
 RUNNING = ServiceRollout(
     MODELS, "v2", 60.0, RolloutOutcome.IN_PROGRESS, LogIndex(4), time()
@@ -35,22 +35,22 @@
     machine.state.rollouts[MODELS] = RUNNING
     entries = CountingTable(lambda: now[0])
     directory = EndpointDirectory(30.0)
-    control = RolloutControl(machine, directory, entries, lambda: now[0])
+    control = RolloutController(machine, directory, entries, lambda: now[0])
     return control, machine, entries, now
 
 
-def test_evidence_is_merged_once_for_entries_that_ask_together():
+def test_evidence_is_merged_once_for_entries_that_poll_together():
     """Answers many entries that each ask several times a second."""
     control, _, entries, now = make_control()
     views = [control.list_views() for _ in range(100)]
     assert {view[0].rollout for view in views} == {RUNNING}
     assert entries.collected == 1
-    now[0] += VIEW_SECONDS + 0.01
+    now[0] += VIEW_CACHE_SECONDS + 0.01
     control.list_views()
     assert entries.collected == 2
 
 
-def test_a_verdict_is_told_at_once():
+def test_a_settled_rollout_bypasses_the_view_cache():
     control, machine, _, _ = make_control()
     control.list_views()
     ended = replace(RUNNING, outcome=RolloutOutcome.ROLLED_BACK)
--- a/tests/daemon/gateway/test_server.py
+++ b/tests/daemon/gateway/test_server.py
@@ -18,9 +18,9 @@
     return f"POST /a/x HTTP/1.1\r\nhost: h.example\r\nid: {id}\r\n{extra}"
 
 
-def test_requests_on_one_connection_are_answered_in_order(make_desk):
-    desk = make_desk(configure(), one=answer)
-    caller = desk.connect()
+def test_requests_on_one_connection_are_answered_in_order(make_harness):
+    harness = make_harness(configure(), one=answer)
+    caller = harness.connect()
     heads = [make_head(f"q-{at}", "content-length: 0\r\n\r\n") for at in range(3)]
     caller.send_raw("".join(heads).encode())
     data = b""
@@ -42,127 +42,129 @@
         data += piece
 
 
-def test_a_request_in_a_body_is_not_run(make_desk):
-    desk = make_desk(configure(), one=answer)
+def test_a_request_embedded_in_a_body_is_not_run(make_harness):
+    harness = make_harness(configure(), one=answer)
     inner = make_head("smuggled", "content-length: 0\r\n\r\n").encode()
-    caller = desk.connect()
+    caller = harness.connect()
     caller.send("POST", body=inner, id="outer")
     assert caller.read().body == "outer"
     sleep(0.05)
-    assert [a.headers["id"] for a in desk.list_arrivals()] == ["outer"]
-    assert desk.list_arrivals()[0].body == inner
+    assert [a.headers["id"] for a in harness.list_arrivals()] == ["outer"]
+    assert harness.list_arrivals()[0].body == inner
 
 
-def test_a_request_framed_twice_runs_at_most_once_and_whole(make_desk):
-    desk = make_desk(configure(), one=answer)
-    caller = desk.connect()
+def test_conflicting_framing_does_not_smuggle_a_request(make_harness):
+    harness = make_harness(configure(), one=answer)
+    caller = harness.connect()
     extra = "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n"
     inner = make_head("smuggled", "content-length: 0\r\n\r\n")
     caller.send_raw((make_head("outer", extra) + "0\r\n\r\n" + inner).encode())
     caller.finish_sending()
     read_all(caller)
-    for arrival in desk.list_arrivals():
+    for arrival in harness.list_arrivals():
         assert arrival.body == b""
         assert "transfer-encoding" not in arrival.headers
 
 
-def test_two_lengths_are_refused(make_desk):
-    desk = make_desk(configure(), one=answer)
-    caller = desk.connect()
+def test_two_content_lengths_are_refused(make_harness):
+    harness = make_harness(configure(), one=answer)
+    caller = harness.connect()
     extra = "content-length: 4\r\ncontent-length: 5\r\n\r\nabcde"
     caller.send_raw(make_head(extra=extra).encode())
     assert read_all(caller).startswith(b"HTTP/1.1 400")
-    assert desk.list_arrivals() == []
+    assert harness.list_arrivals() == []
 
 
-def test_chunked_bodies_reach_the_endpoint_whole(make_desk):
-    desk = make_desk(configure(), one=answer)
-    caller = desk.connect()
+def test_chunked_bodies_reach_the_endpoint_whole(make_harness):
+    harness = make_harness(configure(), one=answer)
+    caller = harness.connect()
     caller.send_raw(make_head(extra="transfer-encoding: chunked\r\n\r\n").encode())
     for piece in (b"3\r\nabc\r\n", b"2;x=y\r\nde", b"\r\n0\r\n\r\n"):
         caller.send_raw(piece)
         sleep(0.01)
     assert b"200" in caller.sock.recv(4096)
-    assert desk.list_arrivals()[0].body == b"abcde"
+    assert harness.list_arrivals()[0].body == b"abcde"
 
 
-def test_headers_and_bodies_that_are_too_large_are_refused(make_desk):
-    desk = make_desk(configure(header_bytes=2_000, body_bytes=1_000), one=answer)
-    caller = desk.connect()
+def test_headers_and_bodies_that_are_too_large_are_refused(make_harness):
+    harness = make_harness(configure(header_bytes=2_000, body_bytes=1_000), one=answer)
+    caller = harness.connect()
     caller.send_raw(make_head(extra=f"x: {'y' * 3000}\r\n").encode())
     assert read_all(caller).startswith(b"HTTP/1.1 431")
-    caller = desk.connect()
+    caller = harness.connect()
     caller.send_raw(make_head(extra="content-length: 1001\r\n\r\n").encode())
     caller.send_raw(b"z" * 1001)
     assert read_all(caller).startswith(b"HTTP/1.1 413")
-    assert desk.list_arrivals() == []
+    assert harness.list_arrivals() == []
 
 
-def test_a_request_that_is_not_sent_in_time_is_refused_and_idle_ones_closed(make_desk):
-    desk = make_desk(configure(header_seconds=0.1, idle_seconds=0.2), one=answer)
-    slow = desk.connect()
+def test_slow_requests_are_refused_and_idle_connections_closed(
+    make_harness,
+):
+    harness = make_harness(configure(header_seconds=0.1, idle_seconds=0.2), one=answer)
+    slow = harness.connect()
     slow.send_raw(b"POST /a/x HT")
-    idle = desk.connect()
+    idle = harness.connect()
     assert read_all(slow).startswith(b"HTTP/1.1 408")
     assert read_all(idle) == b""
 
 
-def test_a_closing_entry_answers_and_says_so(make_desk):
-    desk = make_desk(configure(), one=answer)
-    caller = desk.connect()
+def test_a_closing_server_answers_and_announces_the_close(make_harness):
+    harness = make_harness(configure(), one=answer)
+    caller = harness.connect()
     assert "connection" not in caller.call().headers
-    desk.server.is_closing = True
+    harness.server.is_closing = True
     reply = caller.call(id="q-2")
     assert (reply.status, reply.headers["connection"]) == (200, "close")
     assert caller.sock.recv(10) == b""
 
 
-def test_idle_connections_are_closed_and_busy_ones_finish(make_desk):
-    go = []
+def test_idle_connections_are_closed_and_busy_ones_finish(make_harness):
+    released = []
 
     def act(arrival):
-        while not go:
+        while not released:
             sleep(0.01)
         arrival.answer()
 
-    desk = make_desk(configure(), one=act)
-    busy, idle = desk.connect(), desk.connect()
+    harness = make_harness(configure(), one=act)
+    busy, idle = harness.connect(), harness.connect()
     busy.send()
-    desk.endpoints["one"].arrived.wait(5.0)
-    desk.server.close_idle()
+    harness.endpoints["one"].arrived.wait(5.0)
+    harness.server.close_idle()
     assert idle.sock.recv(10) == b""
-    go.append(True)
+    released.append(True)
     assert busy.read().status == 200
 
 
-def test_a_request_that_has_come_but_is_not_read_yet_is_answered(make_desk):
-    desk = make_desk(configure(), one=answer)
-    caller = desk.connect()
+def test_a_received_but_unread_request_is_answered(make_harness):
+    harness = make_harness(configure(), one=answer)
+    caller = harness.connect()
     assert caller.call().status == 200
     # Nothing else runs in between: the bytes wait in the kernel.
     caller.send(id="q-2")
-    desk.server.close_idle()
+    harness.server.close_idle()
     assert caller.read().status == 200
 
 
-def test_a_request_that_crosses_the_close_is_not_passed_on(make_desk):
-    desk = make_desk(configure(), one=answer)
-    caller = desk.connect()
+def test_a_request_that_crosses_the_close_is_not_forwarded(make_harness):
+    harness = make_harness(configure(), one=answer)
+    caller = harness.connect()
     assert caller.call().status == 200
-    desk.server.close_idle()
+    harness.server.close_idle()
     caller.send(id="q-2")
     assert caller.read().status is None
     sleep(0.05)
-    assert [arrival.headers["id"] for arrival in desk.list_arrivals()] == ["q-1"]
+    assert [arrival.headers["id"] for arrival in harness.list_arrivals()] == ["q-1"]
 
 
-def test_a_connection_whose_answer_began_before_the_stop_ends_with_it(make_desk):
-    go = []
+def test_a_connection_streaming_at_shutdown_closes_after_the_response(make_harness):
+    released = []
 
     def act(arrival):
         arrival.begin_events()
         arrival.send_events(1, 1)
-        while not go:
+        while not released:
             sleep(0.01)
         arrival.send_events(2, 2)
         arrival.end_events()
@@ -170,21 +172,21 @@
     routes = (
         make_route(requires_key=False, kind=RouteKind.STREAMING, timeout_seconds=20.0),
     )
-    desk = make_desk(make_configuration(routes=routes), one=act)
-    caller = desk.connect()
+    harness = make_harness(make_configuration(routes=routes), one=act)
+    caller = harness.connect()
     caller.send(patience="20")
     caller.read_events(1)
-    desk.server.is_closing = True
-    desk.server.close_idle()
-    go.append(True)
+    harness.server.is_closing = True
+    harness.server.close_idle()
+    released.append(True)
     assert caller.read().is_whole
     assert caller.sock.recv(10) == b""
 
 
-def test_a_request_that_comes_too_late_for_a_stop_is_refused_unrun(make_desk):
-    desk = make_desk(configure(), one=answer)
-    desk.entry.is_closed = True
-    reply = desk.connect().call()
+def test_a_request_after_draining_is_refused_without_running(make_harness):
+    harness = make_harness(configure(), one=answer)
+    harness.entry.rejects_requests = True
+    reply = harness.connect().call()
     assert reply.status == 503
     assert float(reply.headers["retry-after"]) < 0.1
-    assert desk.list_arrivals() == []
+    assert harness.list_arrivals() == []
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -1,5 +1,5 @@
 from core.gateway.samples import make_beat
-from daemon.gateway.desk import Desk
+from daemon.gateway.harness import GatewayHarness
 from msgspec import json
 
 from bergamotwood_core.errors import ReplicationError
@@ -7,7 +7,7 @@
 from bergamotwood_core.ids import InstanceId, LogIndex
 from bergamotwood_core.states import EndpointState
 from bergamotwood_daemon.gateway.message import HttpRequest
-from bergamotwood_daemon.gateway.peering import EntryAddress
+from bergamotwood_daemon.gateway.peermessages import EntryAddress
 from bergamotwood_platform.calls import ControlCalls, EntryCalls
 
 BEAT = {
@@ -51,7 +51,7 @@
             raise self.failure
         self.told.append(what)
 
-    def take_beat(self, beat):
+    def record_heartbeat(self, beat):
         self._note("beat", beat)
 
     def record_departure(self, endpoint, incarnation, state):
@@ -123,10 +123,10 @@
 
 
 def test_callers_are_told_the_ready_entries_near_them():
-    desk = Desk()
-    table = EntryCalls(desk.entry).make_address_table()
+    harness = GatewayHarness()
+    table = EntryCalls(harness.entry).make_address_table()
     ask = "/bergamotwood/resolution?name=h.example&region=r&zone="
-    desk.learn(
+    harness.sync(
         entries=(
             make_entry("near:1", "karen"),
             make_entry("leaving:1", "karen", is_ready=False),
@@ -138,28 +138,28 @@
     assert 0.0 < answer["ttl_s"] <= 5.0
     answer = json.decode(call(table, "GET", ask + "embakasi").body)
     assert answer["addresses"] == ["far:1"]
-    desk.stop()
+    harness.stop()
 
 
 def test_an_entry_is_ready_once_it_knows_a_configuration_and_until_it_leaves():
-    desk = Desk()
-    table = EntryCalls(desk.entry).make_readiness_table()
+    harness = GatewayHarness()
+    table = EntryCalls(harness.entry).make_readiness_table()
     assert call(table, "GET", "/bergamotwood/readyz").status == 503
-    desk.learn()
+    harness.sync()
     assert call(table, "GET", "/bergamotwood/readyz").status == 200
-    desk.entry.is_leaving = True
+    harness.entry.is_draining = True
     assert call(table, "GET", "/bergamotwood/readyz").status == 503
-    desk.stop()
+    harness.stop()
 
 
 def test_metrics_are_served_as_text():
-    desk = Desk()
-    desk.beats = [make_beat()]
-    desk.learn()
-    table = EntryCalls(desk.entry).make_metrics_table()
+    harness = GatewayHarness()
+    harness.beats = [make_beat()]
+    harness.sync()
+    table = EntryCalls(harness.entry).make_metrics_table()
     text = call(table, "GET", "/metrics").body.decode()
     assert "bergamotwood_configuration_number 3" in text
     assert "bergamotwood_endpoints 1" in text
     control = ControlCalls(RecordingReplica()).make_metrics_table()
     assert b"bergamotwood_leads 1\n" in call(control, "GET", "/metrics").body
-    desk.stop()
+    harness.stop()
--- a/tests/soak/variants/refuses_falsely.py
+++ b/tests/soak/variants/refuses_falsely.py
@@ -15,7 +15,7 @@
         except EndpointError as error:
             raise RefusedError(error.detail, Code.OVERLOADED, retry_after=0.1)
 
-    Forwarder._forward_truly = forward_falsely
+    Forwarder._forward_converting_refusals = forward_falsely
 
 
 if __name__ == "__main__":
