--- a/packages/daemon/src/bergamotwood_daemon/ticker.py
+++ b/packages/daemon/src/bergamotwood_daemon/ticker.py
@@ -110,7 +110,7 @@
             if progress is None or model is None:
                 continue
             if progress.state not in ACTIVE_ROLLOUT_STATES:
-                outcomes.forget(id)
+                outcomes.stop_counting(id)
                 continue
             outcomes.start_counting(
                 id, progress.ticket, rollout.candidate, model.current
