--- a/packages/core/src/bergamotwood_core/gateway/__init__.py
+++ b/packages/core/src/bergamotwood_core/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Routing of opaque HTTP requests to services, by host and path."""
+"""Routing of HTTP requests to services by host and path; bodies are not parsed."""
--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -1,4 +1,4 @@
-"""What callers and endpoints say about a request, in the gateway's own terms."""
+"""Metadata that accompanies requests and responses, independent of header names."""
 
 from msgspec import Struct
 
@@ -17,14 +17,14 @@
 
 
 class PromptPart(Struct, frozen=True):
-    """A part of a prompt that other requests may share.
+    """A section of a prompt that other requests may share.
 
     Parameters
     ----------
     id : str
-        Equal parts have equal ids.
+        Identifies the content; equal sections have equal ids.
     tokens : int
-        Its length.
+        Length in tokens.
     """
 
     id: str
@@ -32,30 +32,30 @@
 
 
 class RequestMetadata(Struct, frozen=True):
-    """What a caller says of its request.
+    """Metadata that a caller sends with a request.
 
     Parameters
     ----------
     request : RequestId
-        Id of this attempt of the caller.
+        Identifies the request; a retry by the caller has a new id.
     patience_seconds : float or None
-        How long the caller waits.
+        Seconds that the caller waits for the answer.
     key : str
-        Key of its workspace, empty without one.
+        API key of the workspace; empty if none was sent.
     session : SessionId
-        Requests of one session belong together; empty without one.
+        Session of the request; empty if it belongs to none.
     model : ModelName
-        Model that it asks for, empty when it names none.
+        Requested model; empty if none was named.
     leaves_model_open : bool
         Whether the router chooses the model.
     prompt_tokens, output_tokens : int
-        Length of the prompt, and the most that is to be generated.
+        Length of the prompt, and the maximum number of generated tokens.
     expected_tokens : int
-        The caller's estimate of what is generated; 0 without one.
+        The caller's estimate of generated tokens; 0 if it gave none.
     prompt : tuple of PromptPart
-        Parts of the prompt in order; the last one is the request's own.
+        Sections of the prompt in order; the last one is not shared.
     last_event : str
-        Id of the last event that the caller has, empty for a new stream.
+        Id of the last event that the caller received; empty for a new stream.
     """
 
     request: RequestId
@@ -72,22 +72,22 @@
 
 
 class ForwardMetadata(Struct, frozen=True):
-    """What the router says to an endpoint of a request.
+    """Metadata that the router sends to an endpoint with a request.
 
     Parameters
     ----------
     endpoint : EndpointId
-        The only endpoint that may run it.
+        The only endpoint that may execute the request.
     patience_seconds : float
-        Time after which nobody waits for the answer.
+        Seconds after which the caller no longer waits for the answer.
     workspace : WorkspaceId or None
         Workspace of the caller's key.
     model : ModelName
-        Chosen model, empty where there is no choice.
+        Chosen model; empty if the route has no choice of models.
     urgency : int or None
-        From 0, the most urgent, to 9.
+        Priority from 0, the most urgent, to 9.
     last_event : str
-        Event after which a stream goes on, empty from the beginning.
+        Id of the event after which a stream resumes; empty for its beginning.
     """
 
     endpoint: EndpointId
@@ -99,18 +99,18 @@
 
 
 class ResponseMetadata(Struct, frozen=True):
-    """What an endpoint says of its response.
+    """Metadata that an endpoint sends with a response.
 
     Parameters
     ----------
     request : RequestId
-        Request that it answers.
+        Request that the response answers.
     is_signed : bool
-        Whether the endpoint vouches for the response.
+        Whether the endpoint signed the response.
     is_not_run : bool
-        Whether it says that it has not run the request.
+        Whether the endpoint states that it did not execute the request.
     confidence : float or None
-        The model's opinion of its answer, from 0 to 1.
+        The model's confidence in its answer, from 0 to 1.
     """
 
     request: RequestId
@@ -120,34 +120,34 @@
 
 
 class Call(Struct):
-    """A request on its way through an entry.
+    """State of a request while a router instance processes it.
 
     Parameters
     ----------
     terms : RequestMetadata
-        What the caller said.
+        Metadata that the caller sent.
     route : ServiceRoute
-        Its route.
+        Route that matches the request.
     holder : GatewayWorkspace or None
-        Workspace of its key.
+        Workspace of the caller's key.
     service : ServiceName
-        Service chosen for it.
+        Service chosen among the route's destinations.
     received_at, deadline : Seconds
-        When it came, and when its final answer is due.
+        Time of arrival, and time by which the complete answer is due.
     fingerprint : Fingerprint
-        Equal for the same method, path, workspace and body.
+        Equal for requests with the same method, path, workspace and body.
     tried : list of EndpointId
-        Endpoints that it was sent to.
+        Endpoints that the request was sent to.
     runs : int
-        Attempts that may have run.
+        Attempts that may have been executed.
     last_event : str
-        Last event that the caller has.
+        Id of the last event that the caller received.
     model : ModelName
         Model of the current attempt.
     confidence : float or None
-        Opinion of the newest model that answered.
+        Confidence reported by the model that answered last.
     timing : Timing or None
-        Times of the answer that the caller has.
+        Timing of the answer that was delivered to the caller.
     """
 
     terms: RequestMetadata
@@ -166,7 +166,7 @@
 
     @property
     def urgency(self) -> int:
-        """Rank of the request, 0 is the most urgent."""
+        """Priority of the request; 0 is the most urgent."""
         if self.holder is not None and self.holder.priority is not None:
             return self.holder.priority
         return self.route.priority
--- a/packages/core/src/bergamotwood_core/gateway/configuration.py
+++ b/packages/core/src/bergamotwood_core/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""A complete routing configuration, and what makes one invalid."""
+"""Routing configuration and its validation."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -11,7 +11,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether requests of a route may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,14 +19,14 @@
 
 
 class Destination(Struct, frozen=True):
-    """A service that gets a share of a route's requests.
+    """A service that receives a share of a route's requests.
 
     Parameters
     ----------
     service : ServiceName
-        The service.
+        Name of the service.
     weight : float
-        Its part of the sum of the route's weights.
+        Weight relative to the sum of the route's weights.
     """
 
     service: ServiceName
@@ -34,38 +34,38 @@
 
 
 class ServiceRoute(Struct, frozen=True):
-    """Where requests of one host and path prefix go.
+    """Routing of requests with one host and path prefix.
 
     Parameters
     ----------
     name : str
-        Name for operators.
+        Name shown to operators.
     host : str
-        Host that it serves, in lower case.
+        Host of the requests, in lower case.
     path_prefix : str
-        Begins and ends with a slash.
+        Prefix of the path; begins and ends with a slash.
     kind : RouteKind
-        What may be repeated.
+        Whether requests may be executed more than once.
     destinations : tuple of Destination
-        Services that get the requests.
+        Services that receive the requests.
     timeout_seconds : float
-        Longest time until the final answer.
+        Maximum time until the complete answer.
     objective_seconds : float
-        Time until the answer, of a stream its first event, that callers want.
+        Target time until the answer, or until the first event of a stream.
     event_gap_seconds : float
-        Longest pause between events of a stream that callers want.
+        Target for the longest pause between events of a stream.
     priority : int
-        0 is the most urgent.
+        Default priority of requests; 0 is the most urgent.
     max_attempts : int
-        Endpoints that may run one request.
+        Maximum number of endpoints that may execute one request.
     requires_key : bool
-        Whether the caller has to show a workspace's key.
+        Whether callers must send the key of a workspace.
     models : tuple of ModelName
-        Models to choose from, smallest first; empty without a choice.
+        Models to choose from, smallest first; empty if there is no choice.
     keeps_session : bool
-        Whether a session's requests belong on one endpoint.
+        Whether requests of a session are sent to the same endpoint.
     resumable : bool
-        Whether a stream may go on at another endpoint.
+        Whether a stream may resume at another endpoint.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
     @property
     def is_retryable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         match self.kind:
             case RouteKind.IDEMPOTENT:
                 return True
@@ -95,16 +95,17 @@
 
 
 class EngineProfile(Struct, frozen=True):
-    """What one engine of a service can hold.
+    """Capacity and cost of one inference engine of a service.
 
     Parameters
     ----------
     slots : int
-        Requests at once.
+        Maximum number of concurrent requests.
     cache_tokens : int
-        Tokens in its memory, of running requests and cached prompts.
+        Capacity of the key-value cache in tokens, for running requests and cached
+        prompts.
     model_costs : dict
-        Price of 1,000 generated tokens for each model.
+        Price of 1,000 generated tokens by model.
     """
 
     slots: int = 0
@@ -113,18 +114,18 @@
 
 
 class GatewayService(Struct, frozen=True):
-    """A service that routes lead to.
+    """A service that routes send requests to.
 
     Parameters
     ----------
     name : ServiceName
-        Its name.
+        Name of the service.
     health_path : str
-        Path of its health check.
+        Path of the health check.
     max_connections : int
-        Connections that one endpoint takes from all callers.
+        Maximum number of connections that one endpoint accepts, from all callers.
     engine : EngineProfile or None
-        Where its endpoints run language models.
+        Profile of the endpoints if they run language models.
     """
 
     name: ServiceName
@@ -134,7 +135,7 @@
 
 
 class CallerLimits(Struct, frozen=True):
-    """Bounds on what callers send and how long they may take."""
+    """Limits on the size of requests and on the time that callers may take."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -143,16 +144,16 @@
 
 
 class GatewayWorkspace(Struct, frozen=True):
-    """A workspace with its keys.
+    """A workspace, its keys and its priority.
 
     Parameters
     ----------
     workspace : WorkspaceId
-        Its name.
+        Name of the workspace.
     keys : tuple of str
-        Keys of its callers.
+        Keys that its callers may use.
     priority : int or None
-        Goes before the priority of a route; 0 is the most urgent.
+        Overrides the priority of the route; 0 is the most urgent.
     """
 
     workspace: WorkspaceId
@@ -161,12 +162,12 @@
 
 
 class GatewayConfiguration(Struct, frozen=True):
-    """Everything that operators set, under one number.
+    """The complete configuration set by operators, with its version number.
 
     Parameters
     ----------
     number : int
-        The highest number holds; numbers may have gaps.
+        Version; the highest one takes effect. Numbers may have gaps.
     """
 
     number: int
@@ -177,7 +178,7 @@
 
 
 def find_configuration_errors(configuration: GatewayConfiguration) -> tuple[str, ...]:
-    """Return every reason why a configuration cannot be used."""
+    """Return all errors that make a configuration invalid; empty if it is valid."""
     return (
         *_find_route_errors(configuration),
         *_find_duplicate_routes(configuration),
@@ -208,7 +209,7 @@
     )
     for (host, prefix), count in locations.items():
         if count > 1:
-            yield f"{count} routes at {host}{prefix}"
+            yield f"{count} routes have the same host and prefix {host}{prefix}"
 
 
 def _find_shared_keys(configuration: GatewayConfiguration) -> Iterator[str]:
--- a/packages/core/src/bergamotwood_core/gateway/endpoints.py
+++ b/packages/core/src/bergamotwood_core/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that announce themselves, ordered by incarnation and sequence."""
+"""Directory of endpoints, built from their heartbeats."""
 
 from collections.abc import Iterable
 
@@ -18,32 +18,32 @@
 
 
 class EndpointHeartbeat(Struct, frozen=True, array_like=True):
-    """What an endpoint says of itself.
+    """State that an endpoint announces periodically.
 
     Parameters
     ----------
     endpoint : EndpointId
-        Its id.
+        Id of the endpoint.
     incarnation : Incarnation
-        Time of its start; a later one makes earlier ones void.
+        Start time of the process; a later incarnation supersedes earlier ones.
     sequence : Sequence
-        Rises with each heartbeat of an incarnation.
+        Increases with each heartbeat of an incarnation.
     service : ServiceName
-        Service that it belongs to.
+        Service that the endpoint belongs to.
     address : str
-        Host and port.
+        Host and port of the endpoint.
     data_centre : DataCentre
-        Where it runs.
+        Location of the endpoint.
     version : str
-        Version of its software.
+        Version of the software that runs on the endpoint.
     slots : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     state : EndpointState
-        Whether it wants new work.
+        Whether the endpoint accepts new requests.
     warmup_seconds : float
-        How long it stays slow after its start.
+        Time until the endpoint reaches full speed; 0 once it is warm.
     models : tuple of ModelName
-        Models that it holds.
+        Models that the endpoint has loaded.
     """
 
     endpoint: EndpointId
@@ -60,18 +60,18 @@
 
 
 class EndpointDirectory:
-    """Newest heartbeat of each endpoint.
+    """Latest heartbeat of each endpoint.
 
     Parameters
     ----------
     expiry_seconds : float
-        Time without a heartbeat after which an endpoint is forgotten. Requests find
-        out sooner that it is gone; this bounds the table.
+        Time without a heartbeat after which an endpoint is removed. This only limits
+        the size of the table: requests detect a failed endpoint sooner.
 
     Attributes
     ----------
     version : int
-        Rises with each change that matters to entries.
+        Increases with each change that router instances need to know.
     """
 
     def __init__(self, expiry_seconds: float) -> None:
@@ -85,7 +85,7 @@
         return len(self._heartbeats)
 
     def apply_heartbeat(self, heartbeat: EndpointHeartbeat, now: Seconds) -> bool:
-        """Take in a heartbeat; return whether it is news for other daemons."""
+        """Store a heartbeat; return whether it has to be forwarded to other daemons."""
         known = self._heartbeats.get(heartbeat.endpoint)
         if known is not None and not _is_newer(heartbeat, known):
             return False
@@ -100,7 +100,7 @@
         return True
 
     def apply_departures(self, departures: Iterable[Departure]) -> None:
-        """Drop incarnations that leave or have left."""
+        """Remove incarnations that are leaving or have left."""
         for departure in departures:
             key = (departure.endpoint, departure.incarnation)
             if key in self._departed:
@@ -111,25 +111,25 @@
                 self._drop(departure.endpoint)
 
     def expire(self, now: Seconds) -> None:
-        """Forget endpoints that have been silent for long."""
+        """Remove endpoints whose latest heartbeat is older than the expiry time."""
         limit = now - self._expiry
         for endpoint in [key for key, at in self._last_heard.items() if at < limit]:
             self._drop(endpoint)
 
     def list_heartbeats(self) -> tuple[EndpointHeartbeat, ...]:
-        """Return the newest heartbeat of each endpoint."""
+        """Return the latest heartbeat of each endpoint."""
         return tuple(self._heartbeats.values())
 
     def list_silent(self, now: Seconds, seconds: float) -> tuple[EndpointId, ...]:
-        """Return the endpoints whose newest heartbeat is older than some seconds."""
+        """Return the endpoints whose latest heartbeat is older than `seconds`."""
         return tuple(key for key, at in self._last_heard.items() if at < now - seconds)
 
     def find(self, endpoint: EndpointId) -> EndpointHeartbeat | None:
-        """Return the newest heartbeat of an endpoint."""
+        """Return the latest heartbeat of an endpoint; None if it is unknown."""
         return self._heartbeats.get(endpoint)
 
     def _claim_address(self, heartbeat: EndpointHeartbeat) -> bool:
-        """Let the endpoint that started last have its address."""
+        """Remove older endpoints at the address; return False if a newer one has it."""
         for other in list(self._heartbeats.values()):
             if (
                 other.address != heartbeat.address
@@ -155,7 +155,7 @@
 
 
 def _has_changed(heartbeat: EndpointHeartbeat, known: EndpointHeartbeat) -> bool:
-    """Whether a heartbeat changes more than the time it came."""
+    """Whether a heartbeat changes anything besides the time of the last one."""
     return (
         heartbeat.incarnation != known.incarnation
         or heartbeat.service != known.service
--- a/packages/core/src/bergamotwood_core/gateway/events.py
+++ b/packages/core/src/bergamotwood_core/gateway/events.py
@@ -1,17 +1,17 @@
-"""Server-sent events cut out of a stream of bytes."""
+"""Parsing of server-sent events from a stream of bytes."""
 
 from msgspec import Struct
 
 
 class StreamEvent(Struct, frozen=True):
-    """One event with its id.
+    """A complete server-sent event.
 
     Parameters
     ----------
     data : bytes
-        The event's bytes, with the blank line that ends it.
+        Raw bytes of the event, including the terminating blank line.
     id : str or None
-        Value of its `id` field.
+        Value of the `id` field; None if there is none.
     """
 
     data: bytes
@@ -19,18 +19,18 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events (HTML Living Standard, 9.2)."""
+    """Splits a stream of bytes into events (HTML Living Standard, 9.2)."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether an event has begun that is not whole."""
+        """Whether the buffer contains the beginning of an event."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes and return the events that they complete."""
+        """Append bytes to the buffer and return the events that are complete."""
         self._buffer += data
         events = []
         while True:
--- a/packages/core/src/bergamotwood_core/gateway/health.py
+++ b/packages/core/src/bergamotwood_core/gateway/health.py
@@ -1,4 +1,4 @@
-"""Health of endpoints, found from an entry's own traffic."""
+"""Health of endpoints, observed passively from the traffic of this instance."""
 
 from enum import StrEnum
 
@@ -7,24 +7,27 @@
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import EndpointId, Incarnation
 
-# First pause after a failed connection, doubled with each further one: a
-# restarted process is back within seconds.
+# Pause after the first failed connection; it doubles with each further failure, up
+# to the maximum. A restarted process is back within seconds.
 FIRST_PAUSE_SECONDS = 0.5
 MAX_PAUSE_SECONDS = 4.0
-# Pause after a refusal: a full queue moves on within about one short request.
+# Pause after a refusal for lack of capacity: a full queue has room again after
+# about one short request.
 FULL_PAUSE_SECONDS = 0.1
-# Weight of the newest result in the moving averages: about the last ten count.
+# Weight of the latest result in the exponential moving averages, which makes them
+# cover about the last ten results.
 SMOOTHING_FACTOR = 0.1
-# Time without a byte from an endpoint after which the absence of its beats
-# counts: it may only be cut off from the control group.
+# Time without received data after which an endpoint with missing heartbeats is
+# unresponsive. While it still answers requests, only its connection to the control
+# group has failed.
 MAX_TRAFFIC_GAP_SECONDS = 1.5
-# Failure rate from which an endpoint counts as failing. Sound services fail up
-# to one request in seven by themselves.
+# Failure rate above which an endpoint is considered failing. Healthy services fail
+# up to one request in seven.
 FAILING_RATE = 0.3
 
 
 class AttemptResult(StrEnum):
-    """How an attempt at an endpoint ended."""
+    """Result of an attempt at an endpoint."""
 
     OK = "ok"
     UNREACHABLE = "unreachable"
@@ -36,24 +39,24 @@
 
 
 class EndpointHealth(Struct):
-    """What an entry has seen of one incarnation.
+    """Health of one incarnation of an endpoint, as observed by this instance.
 
     Parameters
     ----------
     incarnation : Incarnation
-        The incarnation; a new one begins anew.
+        Incarnation; a new one starts with empty health data.
     paused_until : Seconds
-        No request is sent before.
+        Time before which no request is sent.
     failures : int
-        Failed connections in a row.
+        Consecutive failed connections.
     failure_rate : float
-        Moving average of attempts that failed.
+        Moving average of the share of attempts that failed.
     seconds : float
-        Moving average of the time to an answer; 0 before the first.
+        Moving average of the response time; 0 before the first response.
     is_replaced : bool
-        Whether another endpoint has its address.
+        Whether another endpoint now uses its address.
     heard_at : Seconds
-        When it last sent anything.
+        Time at which data was last received from the endpoint.
     """
 
     incarnation: Incarnation
@@ -66,13 +69,13 @@
 
 
 class HealthTable:
-    """Health of all endpoints that an entry has used."""
+    """Health of all endpoints that this instance has used."""
 
     def __init__(self) -> None:
         self._health: dict[EndpointId, EndpointHealth] = {}
 
     def find(self, endpoint: EndpointId, incarnation: Incarnation) -> EndpointHealth:
-        """Return what is known of an incarnation."""
+        """Return the health of an incarnation; a newer one starts with empty data."""
         known = self._health.get(endpoint)
         if known is None or known.incarnation < incarnation:
             known = self._health[endpoint] = EndpointHealth(incarnation)
@@ -81,18 +84,18 @@
     def record_traffic(
         self, endpoint: EndpointId, incarnation: Incarnation, now: Seconds
     ) -> None:
-        """Note that an endpoint has sent something."""
+        """Record that data was received from an endpoint."""
         self.find(endpoint, incarnation).heard_at = now
 
     def is_unresponsive(
         self, endpoint: EndpointId, incarnation: Incarnation, now: Seconds
     ) -> bool:
-        """Whether an endpoint whose beats are missing is silent here too."""
+        """Whether no data was received from an endpoint for too long."""
         heard_at = self.find(endpoint, incarnation).heard_at
         return now - heard_at > MAX_TRAFFIC_GAP_SECONDS
 
     def retain(self, endpoints: set[EndpointId]) -> None:
-        """Forget all other endpoints."""
+        """Remove all endpoints except the given ones."""
         for endpoint in set(self._health) - endpoints:
             del self._health[endpoint]
 
@@ -104,18 +107,18 @@
         seconds: float,
         now: Seconds,
     ) -> None:
-        """Take in how an attempt ended.
+        """Record the result of an attempt.
 
         Parameters
         ----------
         endpoint, incarnation : EndpointId, Incarnation
-            Where it was.
+            Endpoint that the request was sent to.
         result : Result
-            How it ended.
+            Result of the attempt.
         seconds : float
-            How long it took.
+            Duration of the attempt.
         now : Seconds
-            The time.
+            Current time.
         """
         health = self.find(endpoint, incarnation)
         match result:
--- a/packages/core/src/bergamotwood_core/gateway/latency.py
+++ b/packages/core/src/bergamotwood_core/gateway/latency.py
@@ -1,4 +1,4 @@
-"""Usual times of requests, and which requests are slow beside them."""
+"""Moving averages of response times, and detection of slow answers."""
 
 from math import exp, log
 
@@ -6,31 +6,32 @@
 
 from bergamotwood_core.ids import ModelName
 
-# Weight of the newest request in the moving averages.
+# Weight of the latest request in the exponential moving averages.
 SMOOTHING_FACTOR = 0.1
-# Requests that make an average.
+# Minimum number of requests before an average is used.
 MIN_SAMPLES = 5
-# Times the average from which a request counts as slow. Prompts that are read
-# from the start take up to five times as long as cached ones until the first
-# event; between events the load changes little.
+# Multiples of the average above which an answer is slow: its time to the first event,
+# the time between events, and its total time if it is no stream. A prompt that is
+# not cached takes up to five times as long to the first event as a cached one; load
+# has little effect on the time between events.
 SLOW_START_FACTOR = 8.0
 SLOW_EVENT_FACTOR = 3.5
 SLOW_TOTAL_FACTOR = 4.0
-# Events without which the time between them says little.
+# Minimum number of events for a meaningful mean time between them.
 MIN_EVENTS = 3
 
 
 class Timing(Struct, frozen=True):
-    """Times of one answer.
+    """Timing of one answer.
 
     Parameters
     ----------
     head_seconds : float
-        Until it began.
+        Time until the answer started.
     whole_seconds : float
-        Until it was whole.
+        Time until the answer was complete.
     events : int
-        Events of a stream, 0 for other answers.
+        Number of events of a stream; 0 for other answers.
     """
 
     head_seconds: float
@@ -44,10 +45,11 @@
 
 
 class _Averages(Struct):
-    """Moving averages of one route and model; `tokens` is of the logarithm.
+    """Moving averages for one route and model.
 
-    Callers' estimates of tokens are right at the median and far off at times,
-    so their geometric mean is taken.
+    `log_token_ratio` is the mean logarithm of expected tokens per event. Callers'
+    estimates of tokens are right at the median but sometimes far off, so their
+    geometric mean is used.
     """
 
     samples: int = 0
@@ -59,7 +61,7 @@
 
 
 class LatencyTable:
-    """Moving averages of answers' times for each route and model."""
+    """Moving averages of response times for each route and model."""
 
     def __init__(self) -> None:
         self._averages: dict[tuple[str, ModelName], _Averages] = {}
@@ -67,7 +69,7 @@
     def record(
         self, route: str, model: ModelName, timing: Timing, expected_tokens: int = 0
     ) -> None:
-        """Take in a sound answer, and how many tokens its caller expected."""
+        """Record a successful answer and the number of tokens its caller expected."""
         average = self._averages.setdefault((route, model), _Averages())
         average.samples += 1
         weight = max(SMOOTHING_FACTOR, 1.0 / average.samples)
@@ -83,7 +85,7 @@
     def estimate(
         self, route: str, model: ModelName, expected_tokens: int
     ) -> float | None:
-        """Return the seconds that a stream takes, None before enough are known."""
+        """Return the estimated duration of a stream; None with too few samples."""
         average = self._averages.get((route, model))
         if average is None or average.estimates < MIN_SAMPLES:
             return None
@@ -91,7 +93,7 @@
         return average.head + events * average.event
 
     def is_slow(self, route: str, model: ModelName, timing: Timing) -> bool:
-        """Whether an answer took several times as long as usual."""
+        """Whether an answer took several times as long as the average."""
         average = self._averages.get((route, model))
         if average is None or average.samples < MIN_SAMPLES:
             return False
--- a/packages/core/src/bergamotwood_core/gateway/load.py
+++ b/packages/core/src/bergamotwood_core/gateway/load.py
@@ -1,4 +1,4 @@
-"""Load that an entry has put on endpoints, and that others report."""
+"""Load on endpoints: requests sent by this instance and reports of other instances."""
 
 from msgspec import Struct
 
@@ -6,14 +6,14 @@
 
 
 class EndpointLoad(Struct, frozen=True, array_like=True):
-    """Load on one endpoint.
+    """Number and prefill time of the open requests at one endpoint.
 
     Parameters
     ----------
     requests : int
-        Requests that it has.
+        Number of open requests.
     prefill_seconds : float
-        Time that it needs to read the prompts of those not begun.
+        Estimated time to prefill the prompts of requests whose answer has not started.
     """
 
     requests: int = 0
@@ -21,33 +21,34 @@
 
 
 NO_LOAD = EndpointLoad()
-# Decimals of a second in reports: a prompt takes some milliseconds at least.
+# Decimals of a second in reports; prefilling a prompt takes at least some
+# milliseconds.
 REPORT_DECIMALS = 3
 
 
 class LoadSum:
-    """Sum of the loads that many entries report, kept as reports come and go.
+    """Sum of the loads reported by all instances, updated incrementally.
 
-    Answers the load of many entries: the sum is sent to each of them instead of
-    all reports to all. It is kept in whole units of the last decimal, so that
-    what is added and taken away leaves nothing behind.
+    Each instance receives this sum instead of the reports of all others, which keeps
+    messages small with many instances. The sum is stored as integers in units of the
+    last decimal, so that subtracting a report leaves no rounding error.
     """
 
     def __init__(self) -> None:
         self._sums: dict[EndpointId, tuple[int, int]] = {}
 
     def add(self, loads: dict[EndpointId, EndpointLoad]) -> None:
-        """Add one entry's report."""
+        """Add the report of one instance."""
         self._change(loads, 1)
 
     def subtract(self, loads: dict[EndpointId, EndpointLoad]) -> None:
-        """Take away a report that was added."""
+        """Subtract a report that was added before."""
         self._change(loads, -1)
 
     def list_without(
         self, loads: dict[EndpointId, EndpointLoad]
     ) -> dict[EndpointId, EndpointLoad]:
-        """Return the sum without one report that is part of it."""
+        """Return the sum minus one of the reports included in it."""
         remaining = {}
         for endpoint, (requests, units) in self._sums.items():
             own = loads.get(endpoint, NO_LOAD)
@@ -73,7 +74,7 @@
 
 
 class LoadTable:
-    """Requests of one entry at each endpoint."""
+    """Open requests of this instance at each endpoint."""
 
     def __init__(self) -> None:
         self._own: dict[EndpointId, dict[RequestId, float]] = {}
@@ -82,27 +83,27 @@
     def add_request(
         self, endpoint: EndpointId, request: RequestId, prefill_seconds: float
     ) -> None:
-        """Count a request that is sent to an endpoint."""
+        """Add a request that is sent to an endpoint."""
         self._own.setdefault(endpoint, {})[request] = prefill_seconds
 
     def mark_prefilled(self, endpoint: EndpointId, request: RequestId) -> None:
-        """Note that a request's answer begins: its prompt is read."""
+        """Record that the answer has started, so the prompt needs no more prefill."""
         if request in self._own.get(endpoint, {}):
             self._own[endpoint][request] = 0.0
 
     def remove_request(self, endpoint: EndpointId, request: RequestId) -> None:
-        """Count a request that is over at an endpoint."""
+        """Remove a request that has ended at an endpoint."""
         requests = self._own.get(endpoint, {})
         requests.pop(request, None)
         if not requests:
             self._own.pop(endpoint, None)
 
     def set_others(self, loads: dict[EndpointId, EndpointLoad]) -> None:
-        """Take in the sum of what all other entries report."""
+        """Replace the summed load of all other instances."""
         self._others = loads
 
     def list_own(self) -> dict[EndpointId, EndpointLoad]:
-        """Return the entry's own load on each endpoint."""
+        """Return the load that this instance puts on each endpoint."""
         return {
             endpoint: EndpointLoad(
                 len(requests), round(sum(requests.values()), REPORT_DECIMALS)
@@ -111,18 +112,18 @@
         }
 
     def find(self, endpoint: EndpointId) -> EndpointLoad:
-        """Return the load on an endpoint, of this entry and all others."""
+        """Return the load on an endpoint from this instance and all others."""
         requests = self._own.get(endpoint, {})
         own = EndpointLoad(len(requests), sum(requests.values()))
         return add_loads(own, self._others.get(endpoint, NO_LOAD))
 
     def count_requests(self) -> int:
-        """Return all requests of this entry at endpoints."""
+        """Return the number of open requests of this instance."""
         return sum(len(requests) for requests in self._own.values())
 
 
 def add_loads(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
-    """Return two loads together."""
+    """Return the sum of two loads."""
     return EndpointLoad(
         one.requests + other.requests, one.prefill_seconds + other.prefill_seconds
     )
--- a/packages/core/src/bergamotwood_core/gateway/models.py
+++ b/packages/core/src/bergamotwood_core/gateway/models.py
@@ -1,21 +1,21 @@
-"""Choice of the model for requests that leave it open.
+"""Choice of the model for requests that leave the choice to the router.
 
-Answers the load of long answers: a larger model that is too slow to end within the
-caller's patience would hold an engine for long, and the caller would get nothing.
+A larger model is only tried if it is expected to finish before the caller gives up:
+otherwise it would occupy an engine for a long time without a result for the caller.
 """
 
 from collections.abc import Callable, Sequence
 
 from bergamotwood_core.ids import ModelName
 
-# Confidence of an answer up to which a larger model is asked.
+# Confidence below which the request is sent to a larger model.
 LOW_CONFIDENCE = 0.5
 
 
 def choose_first_model(
     models: Sequence[ModelName], available: set[ModelName]
 ) -> ModelName | None:
-    """Return the smallest model that endpoints hold, None without one."""
+    """Return the smallest available model; None if there is none."""
     for model in models:
         if model in available:
             return model
@@ -29,20 +29,20 @@
     confidence: float | None,
     has_time: Callable[[ModelName], bool],
 ) -> ModelName | None:
-    """Return the largest model to ask instead, None to keep the answer.
+    """Return the largest model to try next, or None to keep the answer.
 
     Parameters
     ----------
     models : sequence of ModelName
         Models of the route, smallest first.
     available : set of ModelName
-        Models that endpoints hold.
+        Models that endpoints have loaded.
     current : ModelName
-        Model that has answered.
+        Model that produced the answer.
     confidence : float or None
-        Its opinion of the answer, from 0 to 1.
+        The model's confidence in its answer, from 0 to 1.
     has_time : callable
-        Whether a model is expected to answer in time.
+        Returns whether a model is expected to answer in time.
     """
     if confidence is None or confidence >= LOW_CONFIDENCE or current not in models:
         return None
@@ -53,15 +53,16 @@
 
 
 def can_finish_in_time(seconds: float | None, time_left: float) -> bool:
-    """Whether an answer is as likely as not to end in time.
+    """Whether an answer finishes in time with a probability of at least one half.
 
-    Estimates are right at the median, so the chances are even where one just fits.
+    Estimates are medians: an answer whose estimate equals the time left finishes in
+    time with a probability of one half.
 
     Parameters
     ----------
     seconds : float or None
-        The estimate; None where there is none yet, which allows it.
+        Estimated duration; None if unknown, which counts as in time.
     time_left : float
-        Seconds until nobody waits for the answer.
+        Seconds until the caller no longer waits for the answer.
     """
     return seconds is None or seconds <= time_left
--- a/packages/core/src/bergamotwood_core/gateway/placement.py
+++ b/packages/core/src/bergamotwood_core/gateway/placement.py
@@ -1,8 +1,9 @@
-"""Choice of the endpoint that gets a request.
+"""Choice of the endpoint that receives a request.
 
-Costs are seconds until the answer begins. Answers the ordinary load and bursts on
-engines: prompts that wait to be read hold up those behind them, so that a prompt goes
-where it is cached unless the wait there is longer than reading it anew.
+Endpoints are compared by a cost in seconds, mainly the expected time until the answer
+starts. Queued prompts delay those behind them, under ordinary load and in bursts.
+Therefore a prompt is sent to an endpoint that has it cached, unless the wait there
+takes longer than a new prefill elsewhere.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,59 +21,59 @@
 from bergamotwood_core.ids import DataCentre, EndpointId, ModelName
 from bergamotwood_core.states import EndpointState
 
-# Cost of an endpoint where every request fails, in seconds: more than the
-# objective of any route, so that it is used where nothing else is left.
+# Cost of an endpoint where every request fails. It exceeds the latency objective of any
+# route, so that such an endpoint is only used if there is no other.
 FAILING_COST_SECONDS = 8.0
-# Share of requests that still go to a failing endpoint, so that its recovery
-# is seen.
+# Fraction of choices that ignore the failures of an endpoint, to detect its recovery.
 PROBE_FRACTION = 0.02
-# Cost of leaving the data centre, in seconds: a round trip and its price.
+# Cost of sending a request to another data centre: the round trip and its price.
 REMOTE_COST_SECONDS = 0.01
-# Cost of an endpoint that is silent to the control group and here, in seconds:
-# about the objective of long prompts.
+# Cost of an endpoint that sends neither heartbeats nor answers; about the latency
+# objective for long prompts.
 UNRESPONSIVE_COST_SECONDS = 4.0
-# Cost of an endpoint that is still warming up, in seconds.
+# Cost of an endpoint that is still warming up.
 WARMUP_COST_SECONDS = 0.2
-# Part of the shared prompt that is taken to be cached at a subject's home, where
-# all entries send it.
+# Fraction of the shared prompt that is assumed to be cached at the preferred endpoint,
+# because all instances send it there.
 PREFERRED_CACHED_FRACTION = 0.95
-# Cost of reading shared tokens anew beside the time that the request itself waits
-# for it, in times of that reading: an engine that reads makes no tokens for others,
-# and what it reads displaces other cached prompts, which are then read anew too.
+# Additional cost of the prefill of shared tokens that are not cached, as a multiple of
+# its duration: meanwhile the engine generates no tokens for other requests, and the
+# tokens evict other cached prompts, which then need a new prefill as well.
 RECOMPUTE_FACTOR = 3.0
-# What users pay for a shared token that is read anew, as seconds of waiting.
+# Price that users pay for the prefill of one shared token, as seconds of waiting.
 RECOMPUTE_TOKEN_COST_SECONDS = 1e-5
-# Part of a route's objective up to which waiting costs less than its time: an
-# answer that begins within the objective is as good as one that begins sooner,
-# but a larger model may have to be asked after this one.
+# Fraction of the route's latency objective up to which waiting costs less than its
+# duration. An earlier start has no benefit within the objective, but some time has to
+# remain in case a larger model is tried afterwards.
 DISCOUNTED_WAIT_FRACTION = 0.3
-# Cost of each request that an endpoint has, in seconds: it slows every token a
-# little, by 2 to 3 % of a step.
+# Cost of each open request at an endpoint: it slows the generation of each token by 2
+# to 3 % of a step.
 OPEN_REQUEST_COST_SECONDS = 0.003
-# Time of a plain request before any was measured, in seconds.
+# Response time that is assumed before the first response to a request without prompt.
 INITIAL_RESPONSE_SECONDS = 0.05
-# Part by which costs are blurred, so that entries that know the same do not all
-# choose the same endpoint.
+# Maximum relative jitter of costs. It prevents instances with equal information from
+# all choosing the same endpoint.
 COST_JITTER = 0.1
 
 
 class Candidate(Struct, frozen=True):
-    """An endpoint that may get a request, with what is known of it.
+    """An endpoint that is eligible for a request, with its health and load.
 
     Parameters
     ----------
     heartbeat : EndpointHeartbeat
-        The endpoint.
+        Latest heartbeat of the endpoint.
     health : EndpointHealth
-        From the entry's own traffic.
+        Health observed by this instance.
     load : EndpointLoad
-        Of all entries.
+        Load from all instances.
     uncached_tokens : int
-        Tokens of the prompt that it probably has to read.
+        Tokens of the prompt that probably need prefill.
     uncached_shared_tokens : int
-        Those of them that other requests share.
+        Those of them that are shared with other requests.
     is_guess : bool
-        Whether the cached part is only likely, from where others send it.
+        Whether the cached tokens are only assumed because other instances prefer the
+        endpoint.
     """
 
     heartbeat: EndpointHeartbeat
@@ -84,18 +85,18 @@
 
 
 class Placement:
-    """Chooses endpoints for one entry.
+    """Chooses endpoints for the requests of one router instance.
 
     Parameters
     ----------
     data_centre : DataCentre
-        Where the entry is.
+        Data centre of the instance.
     health : HealthTable
         Health of the endpoints.
     find_load : callable
-        Returns an endpoint's load.
+        Returns the load on an endpoint.
     rng : Random
-        Source of random choices.
+        Source of randomness for jitter and probes.
 
     Attributes
     ----------
@@ -121,7 +122,7 @@
     def choose(
         self, heartbeats: Iterable[EndpointHeartbeat], call: Call, now: Seconds
     ) -> Candidate | None:
-        """Return the endpoint for a request, None where none may get it now."""
+        """Return the endpoint with the lowest cost; None if none is eligible."""
         eligible = self._find_eligible(heartbeats, call, now)
         preferred = find_preferred_endpoint(
             [heartbeat for heartbeat, _ in eligible], call
@@ -141,17 +142,17 @@
         )
 
     def is_unresponsive(self, heartbeat: EndpointHeartbeat, now: Seconds) -> bool:
-        """Whether an endpoint is silent to the control group and here."""
+        """Whether an endpoint sends neither heartbeats nor answers to this instance."""
         return heartbeat.endpoint in self.silent and self._health.is_unresponsive(
             heartbeat.endpoint, heartbeat.incarnation, now
         )
 
     def estimate_prefill(self, candidate: Candidate, call: Call) -> float:
-        """Return seconds until an endpoint has read a request's prompt."""
+        """Return the estimated seconds for the prefill of a request's prompt."""
         return self.prefill_rate.estimate(call.model, candidate.uncached_tokens)
 
     def record_send(self, candidate: Candidate, call: Call) -> None:
-        """Note that an endpoint reads a request's prompt."""
+        """Record that a prompt was sent to an endpoint, which caches it."""
         heartbeat = candidate.heartbeat
         self.prefix_cache.record(
             heartbeat.endpoint, heartbeat.incarnation, call.model, call.terms.prompt
@@ -160,7 +161,7 @@
     def record_answer_start(
         self, candidate: Candidate, call: Call, seconds: float
     ) -> None:
-        """Take in how long it took until the answer began."""
+        """Record the time until the answer started."""
         if not candidate.is_guess:
             self.prefill_rate.record(call.model, candidate.uncached_tokens, seconds)
 
@@ -246,7 +247,7 @@
 
 
 def find_affinity_key(call: Call) -> str:
-    """Return what a request's prompt shares with most others: its longest chain."""
+    """Return the id of the longest shared prompt, or else the session."""
     parts = call.terms.prompt
     if len(parts) > 1:
         return parts[-2].id
@@ -256,10 +257,10 @@
 def find_preferred_endpoint(
     heartbeats: list[EndpointHeartbeat], call: Call
 ) -> EndpointHeartbeat | None:
-    """Return the endpoint that all entries prefer for a request's subject.
+    """Return the endpoint that all instances prefer for a request's affinity key.
 
-    Rendezvous hashing: each entry comes to the same choice without asking,
-    and few subjects move when an endpoint comes or goes.
+    Uses rendezvous hashing: all instances make the same choice without coordination,
+    and few keys move when an endpoint is added or removed.
     """
     affinity_key = find_affinity_key(call)
     if not affinity_key:
@@ -273,7 +274,7 @@
 
 
 def list_models(heartbeats: Iterable[EndpointHeartbeat], call: Call) -> set[ModelName]:
-    """Return the models that endpoints of a request's service hold."""
+    """Return the models loaded by the endpoints of a request's service."""
     return {
         model
         for heartbeat in heartbeats
--- a/packages/core/src/bergamotwood_core/gateway/prefill.py
+++ b/packages/core/src/bergamotwood_core/gateway/prefill.py
@@ -1,4 +1,4 @@
-"""Time that endpoints need to read prompts, learned from an entry's own traffic."""
+"""Estimates of prefill time and cached prompts, from the traffic of this instance."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable
@@ -6,33 +6,33 @@
 from bergamotwood_core.gateway.call import PromptPart
 from bergamotwood_core.ids import EndpointId, Incarnation, ModelName
 
-# Times of one model that are kept. The lower quartile is the time without
-# waiting: a quarter of the prompts meet an idle engine even under load.
+# Samples kept per model. The lower quartile estimates the time without queueing:
+# even under load, a quarter of the prompts reach an idle engine.
 MAX_SAMPLES = 32
 QUARTILE = 0.25
-# Time for a token before any was measured, in seconds: 25 tokens a millisecond.
-# It only has to be of the right order: the first few prompts correct it.
+# Prefill time per token before the first sample: 25 tokens per millisecond. The order
+# of magnitude is sufficient, because the first few prompts replace it.
 INITIAL_SECONDS_PER_TOKEN = 4e-5
-# Least tokens of a prompt that say something about the time for a token.
+# Minimum tokens of a prompt for a meaningful time per token.
 MIN_SAMPLE_TOKENS = 200
-# Parts remembered for each endpoint; engines hold some hundred prompts.
+# Prompt parts kept for each endpoint; engines cache some hundred prompts.
 MAX_PARTS = 512
 
 
 class PrefillRate:
-    """Seconds for each token of a prompt, by model."""
+    """Prefill time per token for each model."""
 
     def __init__(self) -> None:
         self._times: dict[ModelName, deque[float]] = {}
 
     def record(self, model: ModelName, tokens: int, seconds: float) -> None:
-        """Take in the time from sending a prompt to the answer's beginning."""
+        """Record the time from sending a prompt to the start of the answer."""
         if tokens >= MIN_SAMPLE_TOKENS:
             times = self._times.setdefault(model, deque(maxlen=MAX_SAMPLES))
             times.append(seconds / tokens)
 
     def estimate(self, model: ModelName, tokens: int) -> float:
-        """Return seconds to read tokens that are not cached."""
+        """Return the seconds needed to prefill tokens that are not cached."""
         times = self._times.get(model)
         if not times:
             return INITIAL_SECONDS_PER_TOKEN * tokens
@@ -40,9 +40,10 @@
 
 
 class PrefixCacheIndex:
-    """Parts of prompts that an entry has sent to each endpoint, by model.
+    """Index of the prompt parts that are probably cached at each endpoint.
 
-    Least recently used parts are forgotten, as in the engines.
+    Contains the parts that this instance has sent, by model. The least recently used
+    ones are evicted, as in the engines.
     """
 
     def __init__(self) -> None:
@@ -56,7 +57,7 @@
         model: ModelName,
         parts: Iterable[PromptPart],
     ) -> None:
-        """Note that an endpoint reads a prompt."""
+        """Record that a prompt was sent to an endpoint."""
         cached = self._find(endpoint, incarnation)
         for part in parts:
             cached[model, part.id] = None
@@ -71,9 +72,9 @@
         model: ModelName,
         parts: Iterable[PromptPart],
     ) -> int:
-        """Return the tokens of a prompt that an endpoint has read before.
+        """Return the number of tokens of a prompt that an endpoint has cached.
 
-        A part counts only if all parts before it do.
+        A part counts only if all parts before it are cached as well.
         """
         cached = self._find(endpoint, incarnation)
         tokens = 0
@@ -84,7 +85,7 @@
         return tokens
 
     def retain(self, endpoints: set[EndpointId]) -> None:
-        """Forget all other endpoints."""
+        """Remove all endpoints except the given ones."""
         for endpoint in set(self._parts) - endpoints:
             del self._parts[endpoint]
             del self._incarnations[endpoint]
--- a/packages/core/src/bergamotwood_core/gateway/retries.py
+++ b/packages/core/src/bergamotwood_core/gateway/retries.py
@@ -1,4 +1,4 @@
-"""Repeats of requests: when one is allowed, and a budget for each service."""
+"""Retries of requests: conditions and a budget for each service."""
 
 from collections import deque
 
@@ -6,28 +6,28 @@
 from bergamotwood_core.gateway.call import Call
 from bergamotwood_core.ids import ServiceName
 
-# Sends of one request beyond its attempts that endpoints may refuse unrun.
+# Additional sends of one request, for endpoints that refuse it without executing it.
 MAX_REFUSED_SENDS = 2
-# Least time in which a repeat can still be answered.
+# Minimum time before the deadline for a retry to be worthwhile.
 MIN_RETRY_SECONDS = 0.05
 
 
 class RetryBudget:
-    """Repeats that one entry may send to each service.
+    """Limit on the retries that one instance may send to each service.
 
-    The fleet's budget is a part of the requests in a sliding window and a
-    fixed number. Each entry keeps to the part of its own requests and to its
-    share of the fixed number, so that all together keep the fleet's budget
-    without asking each other.
+    The fleet's budget in a sliding window is a fraction of the requests plus a fixed
+    number. Each instance applies the fraction to its own requests and uses an equal
+    share of the fixed number, so that all instances together stay within the
+    fleet's budget without coordination.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request.
+        Retries allowed for each request.
     extra : float
-        Repeats that the whole fleet may send beside them in a window.
+        Additional retries that the whole fleet may send in a window.
     window_seconds : float
-        Length of the window.
+        Length of the sliding window.
     """
 
     def __init__(self, ratio: float, extra: float, window_seconds: float) -> None:
@@ -39,17 +39,17 @@
         self._retries: dict[ServiceName, deque[Seconds]] = {}
 
     def record_request(self, service: ServiceName, now: Seconds) -> None:
-        """Count a request of a caller."""
+        """Record a request of a caller."""
         self._count(self._requests, service, now)
 
     def allows(self, service: ServiceName, now: Seconds) -> bool:
-        """Whether one more repeat is within the budget."""
+        """Whether another retry is within the budget."""
         requests = self._count_recent(self._requests, service, now)
         retries = self._count_recent(self._retries, service, now)
         return retries + 1 <= self._ratio * requests + self._extra / self.instance_count
 
     def record_retry(self, service: ServiceName, now: Seconds) -> None:
-        """Count a repeat that is being sent."""
+        """Record a retry that is sent."""
         self._count(self._retries, service, now)
 
     def _count(
@@ -76,16 +76,16 @@
 
 
 def may_retry(call: Call, has_run: bool, now: Seconds) -> bool:
-    """Whether the terms of a request allow another send.
+    """Whether a request may be sent again.
 
     Parameters
     ----------
     call : Call
-        The request, with the sends so far.
+        The request, including its attempts so far.
     has_run : bool
-        Whether the last send may have run.
+        Whether the last attempt may have been executed.
     now : Seconds
-        The time.
+        Current time.
     """
     if call.deadline - now < MIN_RETRY_SECONDS:
         return False
--- a/packages/core/src/bergamotwood_core/gateway/rollout.py
+++ b/packages/core/src/bergamotwood_core/gateway/rollout.py
@@ -1,8 +1,8 @@
-"""Roll-out of a service's version: how much of it, for whom, and its verdict.
+"""Roll-out of a service's version: traffic share, session assignment and outcome.
 
-Answers the ordinary load during a roll-out. The share is small until half of the
-time has passed, so that a bad version harms few; it grows with the evidence, and is
-whole early enough for requests at the version before to end.
+The share of the new version stays small for the first half of the time, so that a bad
+version affects few requests. It then grows with the evidence and reaches 1 early
+enough for requests on the previous version to finish.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,47 +15,48 @@
 from bergamotwood_core.ids import ServiceName, SessionId
 from bergamotwood_core.sequential import Loss, bet_above
 
-# Parts of a roll-out's time, and the share of sessions from each on. The first
-# waits for endpoints to start and for entries to learn which sessions are open.
-# Sessions change their version only after half of the time.
+# Fraction of the roll-out's time at which each stage starts, and the share of sessions
+# on the new version from then on. The time before the first stage allows endpoints to
+# start and instances to exchange their open sessions. The other stages start after
+# open sessions may move.
 STAGES = ((0.1, 0.08), (0.52, 0.2), (0.7, 0.5), (0.76, 1.0))
 FIRST_SHARE = STAGES[0][1]
-# Part of the time after which sessions may change to the new version.
+# Fraction of the time after which open sessions may move to the new version.
 SESSION_MOVE_FRACTION = 0.5
-# Part of the time at which the roll-out ends: the rest is for the order to be
-# committed and read before its deadline.
+# Fraction of the time at which the roll-out ends. The rest allows the outcome to be
+# committed and read before the deadline.
 END_FRACTION = 0.93
-# Finished requests on the new version that the last two stages wait for.
+# Minimum number of finished requests on the new version for the last two stages.
 MIN_EVIDENCE_TRIALS = 12
-# Chance, at any time, of taking a sound version for a bad one.
+# Maximum probability that a good version is ever judged to be bad.
 FALSE_STOP_RATE = 0.005
-# Bad answers above the rate of the version before that are never held against
-# a version: one route's rate is measured on few requests.
+# Tolerated increase of the rate of bad answers over the previous version, because the
+# rate of one route is measured with few requests.
 TOLERATED_RATE = 0.03
-# Prior of the rate of the version before: one bad answer in fifty requests.
+# Prior for the rate of the previous version: one bad answer in fifty requests.
 PRIOR_BAD = 1.0
 PRIOR_TRIALS = 50.0
-# Time between two starts of the test, so that a version that turns bad late is
-# not covered by its good answers before.
+# Interval at which another test starts, so that good answers at the beginning do not
+# hide a version that turns bad later.
 TEST_PERIOD_SECONDS = 3.0
-# Endpoints of the new version, as a part of those of the other ones, without
-# which traffic is not moved.
+# Minimum number of endpoints on the new version, relative to those on other versions,
+# before traffic is moved.
 MIN_CAPACITY_FRACTION = 0.5
-# An order of no time at all counts as one of a thousandth of a second.
+# Minimum duration of a roll-out, which avoids division by zero.
 MIN_DURATION_SECONDS = 1e-3
 
 
 class VersionEvidence(Struct, frozen=True, array_like=True):
-    """Requests of one route on one version of a service.
+    """Counts of finished requests of one route on one version of a service.
 
     Parameters
     ----------
     service, version, route : str
-        Which requests.
+        Service, version and route of the requests.
     trials : int
-        Requests that ended.
+        Finished requests.
     bad : int
-        Those that failed or were slow.
+        Finished requests that failed or were slow.
     """
 
     service: ServiceName
@@ -66,16 +67,16 @@
 
 
 class RolloutView(Struct, frozen=True, array_like=True):
-    """A roll-out as an entry gets it.
+    """State of a roll-out as sent to router instances.
 
     Parameters
     ----------
     rollout : ServiceRollout
-        The roll-out.
+        Roll-out as stored in the log.
     elapsed_seconds : float
-        Time since it was ordered.
+        Time since the roll-out was ordered.
     share : float
-        Part of the sessions on the new version.
+        Share of the sessions on the new version.
     """
 
     rollout: ServiceRollout
@@ -84,7 +85,7 @@
 
     @property
     def may_move_sessions(self) -> bool:
-        """Whether open sessions may change to the new version."""
+        """Whether open sessions may move to the new version."""
         return (
             self.elapsed_seconds
             >= SESSION_MOVE_FRACTION * self.rollout.duration_seconds
@@ -97,18 +98,18 @@
     evidence: Iterable[VersionEvidence],
     has_capacity: bool,
 ) -> float:
-    """Return the part of the sessions that belongs on the new version.
+    """Return the share of the sessions that is sent to the new version.
 
     Parameters
     ----------
     rollout : ServiceRollout
         A roll-out in progress.
     elapsed_seconds : float
-        Time since it was ordered.
+        Time since the roll-out was ordered.
     evidence : iterable of VersionEvidence
-        Requests on all versions.
+        Finished requests on all versions.
     has_capacity : bool
-        Whether enough endpoints of the new version have announced themselves.
+        Whether enough endpoints run the new version.
     """
     fraction = _compute_elapsed_fraction(rollout, elapsed_seconds)
     reached = [share for start, share in STAGES if fraction >= start]
@@ -124,16 +125,16 @@
 def is_on_target(
     view: RolloutView, affinity_key: str, is_on_other_version: bool
 ) -> bool:
-    """Whether a subject's requests belong on the new version.
+    """Whether requests with an affinity key are sent to the new version.
 
     Parameters
     ----------
     view : RolloutView
         A roll-out in progress.
     affinity_key : str
-        A session, or a request without one.
+        Id of the session, or of the request if it has no session.
     is_on_other_version : bool
-        Whether the session was on another version just now.
+        Whether the session is open on another version.
     """
     point = hash_affinity_key(view.rollout, affinity_key)
     if point >= view.share:
@@ -142,12 +143,12 @@
 
 
 def hash_affinity_key(rollout: ServiceRollout, affinity_key: str) -> float:
-    """Return a subject's place in [0, 1) for a roll-out."""
+    """Return the hash of an affinity key in [0, 1), specific to a roll-out."""
     return hash_to_unit_interval(f"{rollout.service}/{rollout.target}/{affinity_key}")
 
 
 class RegressionDetector:
-    """Evidence of one roll-out over time, for its verdict."""
+    """Sequential test for a route on which the new version is worse."""
 
     def __init__(self) -> None:
         self._test_starts: list[tuple[Seconds, dict[str, tuple[int, int]]]] = []
@@ -155,7 +156,7 @@
     def find_regressed_route(
         self, rollout: ServiceRollout, evidence: Sequence[VersionEvidence], now: Seconds
     ) -> str | None:
-        """Return the route on which the new version is shown to be bad."""
+        """Return a route on which the new version is bad; None without evidence."""
         candidate = _sum_by_route(evidence, rollout, of_target=True)
         current = _sum_by_route(evidence, rollout, of_target=False)
         if (
@@ -186,20 +187,20 @@
     share: float,
     outstanding_before: int,
 ) -> RolloutOutcome:
-    """Return how a roll-out stands.
+    """Return the outcome of a roll-out, or that it is still in progress.
 
     Parameters
     ----------
     rollout : ServiceRollout
         A roll-out in progress.
     elapsed_seconds : float
-        Time since it was ordered.
+        Time since the roll-out was ordered.
     regressed_route : str or None
-        Route on which the version is bad.
+        Route on which the new version is bad.
     share : float
-        Part of the sessions on the new version.
+        Share of the sessions on the new version.
     outstanding_before : int
-        Requests that still run on other versions: their endpoints stop without
+        Requests that are still open on other versions. Their endpoints stop without
         draining once the roll-out is completed.
     """
     if regressed_route is not None:
@@ -218,7 +219,7 @@
 def merge_evidence(
     reports: Iterable[Iterable[VersionEvidence]],
 ) -> list[VersionEvidence]:
-    """Add up the evidence of all entries."""
+    """Return the summed evidence of all instances."""
     totals: dict[tuple[ServiceName, str, str], tuple[int, int]] = {}
     for report in reports:
         for item in report:
@@ -229,12 +230,12 @@
 
 
 class SessionVersions:
-    """Versions that sessions were on, while they are open.
+    """Versions of the sessions that are open at this instance.
 
     Parameters
     ----------
     session_seconds : float
-        Pause after which a session is over.
+        Time without requests after which a session is closed.
     """
 
     def __init__(self, session_seconds: float) -> None:
@@ -244,7 +245,7 @@
     def record(
         self, service: ServiceName, session: SessionId, version: str, now: Seconds
     ) -> None:
-        """Note that a request of a session is on a version."""
+        """Record that a request of a session was sent to a version."""
         key = (service, session)
         self._seen.pop(key, None)
         self._seen[key] = (version, now)
@@ -252,14 +253,14 @@
     def find_version(
         self, service: ServiceName, session: SessionId, now: Seconds
     ) -> str | None:
-        """Return the version of an open session."""
+        """Return the version of an open session; None if it is not open."""
         seen = self._seen.get((service, session))
         if seen is None or now - seen[1] > self._seconds:
             return None
         return seen[0]
 
     def list_open(self, rollout: ServiceRollout, now: Seconds) -> list[SessionId]:
-        """Return open sessions of other versions that would be moved first."""
+        """Return open sessions on other versions that the first stage would move."""
         self._expire(now)
         return [
             session
@@ -277,7 +278,7 @@
 
 
 def _compute_elapsed_fraction(rollout: ServiceRollout, elapsed_seconds: float) -> float:
-    """Return the part of a roll-out's time that has passed."""
+    """Return the elapsed fraction of a roll-out's time."""
     return elapsed_seconds / max(rollout.duration_seconds, MIN_DURATION_SECONDS)
 
 
--- a/packages/core/src/bergamotwood_core/gateway/routing.py
+++ b/packages/core/src/bergamotwood_core/gateway/routing.py
@@ -1,4 +1,4 @@
-"""Look-ups in the configuration in force: routes by place, workspaces by key."""
+"""Lookup of routes by host and path, and of workspaces by key."""
 
 from hashlib import sha256
 
@@ -14,12 +14,12 @@
 
 
 class RoutingTable:
-    """A configuration, indexed for requests.
+    """A configuration with indexes for lookups per request.
 
     Parameters
     ----------
     configuration : GatewayConfiguration
-        A valid one.
+        A valid configuration.
     """
 
     def __init__(self, configuration: GatewayConfiguration) -> None:
@@ -36,43 +36,43 @@
 
     @property
     def number(self) -> int:
-        """Number of the configuration."""
+        """Version number of the configuration."""
         return self.configuration.number
 
     @property
     def has_workspaces(self) -> bool:
-        """Whether the configuration has workspaces at all."""
+        """Whether the configuration defines any workspace."""
         return bool(self.configuration.holders)
 
     def find_route(self, host: str, path: str) -> ServiceRoute | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the route with the longest matching prefix; None if none matches."""
         end = len(path)
         while end >= 0:
             route = self._routes.get((host, path[:end]))
             if route is not None:
                 return route
-            # Prefixes end with a slash: the next candidate ends at the one before.
+            # Prefixes end with a slash: continue at the previous slash of the path.
             end = path.rfind("/", 0, end - 1) + 1 if end > 1 else -1
         return None
 
     def find_workspace(self, key: str) -> GatewayWorkspace | None:
-        """Return the workspace that a key belongs to."""
+        """Return the workspace that a key belongs to; None if the key is unknown."""
         return self._workspaces.get(key)
 
     def find_service(self, name: ServiceName) -> GatewayService | None:
-        """Return a service by its name."""
+        """Return the service with a name; None if it is unknown."""
         return self._services.get(name)
 
 
 def choose_destination(route: ServiceRoute, affinity_key: str) -> ServiceName:
-    """Choose a service of a route by its weights, always the same for a subject.
+    """Return a destination by weight, always the same one for an affinity key.
 
     Parameters
     ----------
     route : ServiceRoute
-        The route.
+        Route with the weighted destinations.
     affinity_key : str
-        What is to stay together, such as a session's id.
+        Requests with equal keys go to the same service, such as those of a session.
     """
     if len(route.destinations) == 1:
         return route.destinations[0].service
@@ -87,6 +87,6 @@
 
 
 def hash_to_unit_interval(text: str) -> float:
-    """Return a number of [0, 1) that is equal for equal texts, everywhere."""
+    """Return a hash in [0, 1) that is the same on all instances."""
     digest = sha256(text.encode("utf-8", "surrogateescape")).digest()
     return int.from_bytes(digest[: HASH_BITS // 8]) / 2**HASH_BITS
--- a/packages/core/src/bergamotwood_core/gateway/state_machine.py
+++ b/packages/core/src/bergamotwood_core/gateway/state_machine.py
@@ -1,4 +1,4 @@
-"""Replicated state of the gateway: configuration, roll-outs and departures."""
+"""Replicated state machine for configuration, roll-outs and endpoint departures."""
 
 from enum import StrEnum
 from zlib import compress, decompress
@@ -10,13 +10,13 @@
 from bergamotwood_core.ids import EndpointId, Incarnation, LogIndex, ServiceName
 from bergamotwood_core.states import EndpointState
 
-# A beat is late by seconds, departures come a few a second on the worst day:
-# this many outlast any beat that may still come.
+# Departures are kept to reject delayed heartbeats. Heartbeats are delayed by seconds,
+# and at most a few endpoints depart per second.
 MAX_DEPARTURES = 4_096
 
 
 class RolloutOutcome(StrEnum):
-    """How far the roll-out of a service's version is."""
+    """State of the roll-out of a service's version."""
 
     IN_PROGRESS = "in_progress"
     COMPLETED = "completed"
@@ -24,14 +24,14 @@
 
 
 class ReplaceConfiguration(Struct, frozen=True, array_like=True, tag=1):
-    """Set the whole configuration, unless one of a higher number holds.
+    """Replace the configuration if its number is higher than the current one.
 
     Parameters
     ----------
     number : int
-        Its number.
+        Number of the configuration.
     document : bytes
-        What the operator sent, compressed.
+        Document sent by the operator, compressed.
     """
 
     number: int
@@ -39,17 +39,17 @@
 
 
 class BeginRollout(Struct, frozen=True, array_like=True, tag=2):
-    """Move a service to another version within some seconds.
+    """Start the roll-out of a service to another version.
 
     Parameters
     ----------
     service, target : str
-        The service and the version.
+        Service and version to roll out.
     duration_seconds : float
-        Time that the operator gives it.
+        Time within which the roll-out has to finish.
     ordered_at : float
-        Time of day in seconds, so that a replica that starts later knows how
-        much of the time is left.
+        Wall-clock time in seconds, from which a replica that starts later computes
+        the time left.
     """
 
     service: ServiceName
@@ -59,7 +59,7 @@
 
 
 class SettleRollout(Struct, frozen=True, array_like=True, tag=3):
-    """End a roll-out."""
+    """End a roll-out with an outcome."""
 
     service: ServiceName
     target: str
@@ -67,7 +67,7 @@
 
 
 class RecordDeparture(Struct, frozen=True, array_like=True, tag=4):
-    """An incarnation of an endpoint gets no more work."""
+    """Record that an incarnation of an endpoint receives no more requests."""
 
     endpoint: EndpointId
     incarnation: Incarnation
@@ -78,20 +78,20 @@
 
 
 class ServiceRollout(Struct, frozen=True, array_like=True):
-    """A roll-out as it stands.
+    """Roll-out of a service with its current outcome.
 
     Parameters
     ----------
     service, target : str
-        The service and the version that it moves to.
+        Service and version to roll out.
     duration_seconds : float
-        Time that the operator gives it.
+        Time within which the roll-out has to finish.
     outcome : RolloutOutcome
-        How far it is.
+        State of the roll-out.
     index : LogIndex
-        Log entry of the order; it names the roll-out.
+        Index of the log entry that started the roll-out; identifies it.
     ordered_at : float
-        Time of day in seconds.
+        Wall-clock time of the order in seconds.
     """
 
     service: ServiceName
@@ -103,7 +103,7 @@
 
 
 class Departure(Struct, frozen=True, array_like=True):
-    """An endpoint's incarnation that leaves or has left."""
+    """An incarnation of an endpoint that is leaving or has left."""
 
     endpoint: EndpointId
     incarnation: Incarnation
@@ -111,18 +111,18 @@
 
 
 class GatewayState(Struct, array_like=True):
-    """Everything that the log holds of the gateway.
+    """Complete state of the gateway that results from the log.
 
     Parameters
     ----------
     number : int
-        Number of the configuration in force, -1 before the first.
+        Number of the current configuration; -1 before the first.
     document : bytes
-        The configuration as it was sent, compressed.
+        Configuration document as sent by the operator, compressed.
     rollouts : dict
-        Newest roll-out of each service.
+        Latest roll-out of each service.
     departures : list of Departure
-        Newest last.
+        Latest departures, oldest first.
     """
 
     number: int = -1
@@ -132,16 +132,16 @@
 
 
 class CommandOutcome(Struct, frozen=True, array_like=True):
-    """Answer to a command.
+    """Result of applying a command.
 
     Parameters
     ----------
     accepted : bool
-        False where the command contradicts what holds.
+        False if the command conflicts with the current state.
     changed : bool
-        Whether the state is another one now.
+        Whether the command changed the state.
     reason : str
-        Why nothing changed.
+        Why the state did not change; empty if it did.
     """
 
     accepted: bool
@@ -156,38 +156,42 @@
 
 
 def encode_command(command: GatewayCommand) -> bytes:
-    """Return a command as bytes, for the log."""
+    """Return the serialized command for the log."""
     return ENCODER.encode(command)
 
 
 def compress_document(document: bytes) -> bytes:
-    """Compress a configuration: it crosses data centres once for each daemon."""
+    """Compress a configuration, which is sent across data centres to each daemon."""
     return compress(document)
 
 
 def decompress_document(packed: bytes) -> bytes:
-    """Return a configuration as the operator sent it."""
+    """Return the configuration document as sent by the operator."""
     return decompress(packed)
 
 
 class GatewayStateMachine:
-    """The state machine of the gateway's log."""
+    """Applies the commands of the gateway's log to its state."""
 
     def __init__(self) -> None:
         self.state = GatewayState()
 
     def apply(self, index: LogIndex, command: bytes) -> bytes:
-        """Apply a command; an unreadable one changes nothing on any replica."""
+        """Apply a command and return the serialized outcome.
+
+        A command that cannot be decoded raises an error on every replica before it
+        changes the state.
+        """
         return ENCODER.encode(
             self._apply_command(index, _COMMAND_DECODER.decode(command))
         )
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
         return ENCODER.encode(self.state)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state."""
+        """Replace the state with a snapshot."""
         self.state = _STATE_DECODER.decode(snapshot)
 
     def _apply_command(
@@ -205,7 +209,7 @@
 
     def _replace_configuration(self, command: ReplaceConfiguration) -> CommandOutcome:
         if command.number <= self.state.number:
-            reason = f"configuration {self.state.number} holds"
+            reason = f"configuration {self.state.number} is in force"
             return CommandOutcome(True, False, reason)
         self.state.number = command.number
         self.state.document = command.document
--- a/packages/core/src/bergamotwood_core/gateway/suspects.py
+++ b/packages/core/src/bergamotwood_core/gateway/suspects.py
@@ -1,7 +1,7 @@
-"""Requests that crash the endpoints that run them.
+"""Detection of requests that crash the endpoints that execute them.
 
-Answers a request that comes again and again, at any entry, and takes an engine down
-each time: after a few crashes it is refused for a while, everywhere.
+A caller may resend such a request through any instance, and each attempt takes down an
+engine. After a few crashes, all instances refuse the request for some time.
 """
 
 from collections.abc import Iterable
@@ -12,26 +12,27 @@
 from bergamotwood_core.ids import EndpointId, Fingerprint, Incarnation
 
 NEVER = Seconds(float("-inf"))
-# Endpoints that a request must have crashed, with no success at any entry in between:
-# two may be chance while endpoints crash for another reason.
+# Number of endpoints that a request must have crashed without a success in between, at
+# all instances together. Two may be a coincidence while endpoints crash for another
+# reason.
 MIN_SUSPECT_CRASHES = 3
-# How long a crash is remembered, and so the longest suspension.
+# Time for which a crash is kept, and thus the maximum suspension.
 CRASH_RETENTION_SECONDS = 30.0
-# Crashes remembered by one entry; more would be endpoints that fail by themselves.
+# Crashes kept by one instance; more indicate endpoints that fail for other reasons.
 MAX_CRASHES = 64
 
 
 class Crash(Struct, frozen=True, array_like=True):
-    """An endpoint that broke off while it ran a request.
+    """Loss of the connection to an endpoint while it executed a request.
 
     Parameters
     ----------
     fingerprint : Fingerprint
-        The request: method, path, caller and body.
+        Hash of the method, path, workspace and body of the request.
     endpoint, incarnation : EndpointId, Incarnation
-        The endpoint.
+        Endpoint that executed the request.
     age_seconds : float
-        How long ago, when it was reported.
+        Age of the crash at the time of the report.
     """
 
     fingerprint: Fingerprint
@@ -41,14 +42,14 @@
 
 
 class Success(Struct, frozen=True, array_like=True):
-    """A request under suspicion that an endpoint has answered.
+    """Success of a request that is suspected because of earlier crashes.
 
     Parameters
     ----------
     fingerprint : Fingerprint
-        The request: method, path, caller and body.
+        Hash of the method, path, workspace and body of the request.
     age_seconds : float
-        How long ago, when it was reported.
+        Age of the success at the time of the report.
     """
 
     fingerprint: Fingerprint
@@ -56,7 +57,7 @@
 
 
 class SuspectTable:
-    """Crashes that an entry has seen, and those that others report."""
+    """Crashes observed by this instance and reported by other instances."""
 
     def __init__(self) -> None:
         self._own: list[tuple[Crash, Seconds]] = []
@@ -71,19 +72,19 @@
         incarnation: Incarnation,
         now: Seconds,
     ) -> None:
-        """Note that an endpoint broke off while it ran a request."""
+        """Record that an endpoint crashed while it executed a request."""
         self._own.append((Crash(fingerprint, endpoint, incarnation), now))
         del self._own[:-MAX_CRASHES]
 
     def record_success(self, fingerprint: Fingerprint, now: Seconds) -> None:
-        """Clear a request of all crashes up to now."""
+        """Record a success, which clears the request of all crashes up to now."""
         if self._list_crashes(fingerprint, now):
             self._cleared_at[fingerprint] = now
 
     def apply_reports(
         self, crashes: Iterable[Crash], successes: Iterable[Success], now: Seconds
     ) -> None:
-        """Take in what all other entries report."""
+        """Replace the reports of all other instances."""
         self._others = [(crash, Seconds(now - crash.age_seconds)) for crash in crashes]
         self._cleared_by_others_at = {}
         for success in successes:
@@ -92,7 +93,7 @@
             self._cleared_by_others_at[success.fingerprint] = max(known, at)
 
     def list_own_crashes(self, now: Seconds) -> tuple[Crash, ...]:
-        """Return the crashes to report to other entries."""
+        """Return the crashes to report to other instances."""
         self._expire(now)
         return tuple(
             Crash(
@@ -103,7 +104,7 @@
         )
 
     def list_successes(self, now: Seconds) -> tuple[Success, ...]:
-        """Return the successes to report to other entries."""
+        """Return the successes to report to other instances."""
         self._expire(now)
         return tuple(
             Success(fingerprint, round(now - at, 2))
@@ -111,7 +112,7 @@
         )
 
     def compute_suspension(self, fingerprint: Fingerprint, now: Seconds) -> float:
-        """Return seconds for which a request is refused; 0 when it is not."""
+        """Return the seconds for which a request is refused; 0 if it is allowed."""
         crashes = self._list_crashes(fingerprint, now)
         incarnations = {(crash.endpoint, crash.incarnation) for crash, _ in crashes}
         if len(incarnations) < MIN_SUSPECT_CRASHES:
@@ -130,7 +131,7 @@
         ]
 
     def _find_last_success(self, fingerprint: Fingerprint) -> Seconds:
-        """Return when any entry last saw the request answered."""
+        """Return the time of the last success of a request at any instance."""
         return max(
             self._cleared_at.get(fingerprint, NEVER),
             self._cleared_by_others_at.get(fingerprint, NEVER),
--- a/tests/core/gateway/samples.py
+++ b/tests/core/gateway/samples.py
@@ -1,4 +1,4 @@
-"""Small sound objects that tests of the gateway change as they need."""
+"""Factories of valid objects for the tests of the gateway."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.call import Call, RequestMetadata
--- a/tests/core/gateway/test_models.py
+++ b/tests/core/gateway/test_models.py
@@ -47,10 +47,11 @@
 
 
 def simulate_long_answers(choose, rng, callers=400):
-    """Return callers served, and engine seconds spent on answers that nobody got.
+    """Return the number of served callers and the wasted engine seconds.
 
-    The large model makes an event in 0.2 s and callers wait for 20 s; their
-    estimates of the answer's length are off by half as a rule.
+    The large model generates an event every 0.2 s and callers wait for 20 s. Their
+    estimates of the answer's length are typically off by half. Engine time is wasted
+    on answers that do not finish before the caller gives up.
     """
     latencies = LatencyTable()
     served = 0
@@ -59,7 +60,7 @@
         events = int(rng.lognormvariate(3.6, 0.9)) + 1
         expected = int(3 * events * rng.lognormvariate(0.0, 0.5)) + 1
         if not choose(latencies.estimate("r", "l", expected)):
-            # The answer of the small model is delivered.
+            # The caller gets the answer of the small model.
             served += 1
             continue
         seconds = 0.5 + 0.2 * events
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -123,7 +123,7 @@
 
 
 def make_unshared_call(seconds):
-    """Make a call whose prompt shares nothing and takes some time to read."""
+    """Make a call whose prompt is not shared and takes `seconds` to prefill."""
     route = make_route(destinations=(Destination(MODELS),))
     tokens = int(seconds / INITIAL_SECONDS_PER_TOKEN)
     parts = (PromptPart("own", tokens),)
@@ -132,7 +132,7 @@
 
 
 def simulate_burst(choose_next, seed):
-    """Send prompts of unlike size to nine engines; return the waits in seconds."""
+    """Send prompts of different sizes to nine engines; return the sorted waits."""
     rng = Random(seed)
     free_at = dict.fromkeys(range(9), 0.0)
     now = 0.0
@@ -170,9 +170,9 @@
 
 
 def simulate_shared_prompts(choose_next, seed, prompt_count=60, cache_size=10):
-    """Send prompts of many subjects to engines that each keep a few of them.
+    """Send many different shared prompts to engines that each cache a few of them.
 
-    Returns the time until each prompt is read, sorted, and how many were read anew.
+    Returns the sorted times until each prefill ends, and the number of cache misses.
     """
     rng = Random(seed)
     free_at = dict.fromkeys(range(9), 0.0)
@@ -197,7 +197,7 @@
 
 
 def test_shared_prompts_start_sooner_with_fewer_cache_misses():
-    """Answers engines that are busy with reading and can keep few prompts."""
+    """Guards against engines that spend their time on prefill after cache misses."""
     heartbeats = make_engines()
 
     def by_placement(backlog, shared_id, rng):
--- a/tests/core/gateway/test_rollout.py
+++ b/tests/core/gateway/test_rollout.py
@@ -79,12 +79,14 @@
 
 
 def simulate_rollout(rates, seed, seconds=24.0, rate=20.0, baseline=0.01):
-    """Play a roll-out; return its outcome and the requests on the new version.
+    """Simulate a roll-out.
+
+    Returns its outcome, the requests on the new version and its bad answers.
 
     Parameters
     ----------
     rates : callable
-        Chance of a bad answer of the new version at a time.
+        Returns the probability of a bad answer of the new version at a time.
     """
     rng = Random(seed)
     detector = RegressionDetector()
--- a/tests/core/gateway/test_suspects.py
+++ b/tests/core/gateway/test_suspects.py
@@ -30,7 +30,7 @@
 
 
 def exchange_reports(tables, now):
-    """Let each entry take in what all others report."""
+    """Deliver the reports of each instance to all others."""
     crashes = [table.list_own_crashes(Seconds(now)) for table in tables]
     successes = [table.list_successes(Seconds(now)) for table in tables]
     for at, table in enumerate(tables):
@@ -43,7 +43,7 @@
 
 
 def test_success_at_one_instance_clears_the_request_at_all_instances():
-    """Answers equal requests of many callers, some broken off at each entry."""
+    """Guards against suspending equal requests of many callers that fail by chance."""
     tables = [SuspectTable() for _ in range(3)]
     record_crash(tables[0], "a", 1.0)
     record_crash(tables[1], "b", 1.5)
@@ -54,7 +54,7 @@
     assert tables[0].compute_suspension(BAD, Seconds(5.0)) == 0.0
     exchange_reports(tables, 6.0)
     assert tables[1].compute_suspension(BAD, Seconds(6.0)) == 0.0
-    # Crashes after the success count.
+    # Only crashes after the success count.
     record_crash(tables[1], "d", 7.0)
     record_crash(tables[1], "e", 7.0)
     exchange_reports(tables, 8.0)
@@ -65,7 +65,7 @@
     tables = [SuspectTable() for _ in range(3)]
     record_crash(tables[1], "e1", 10.0)
     record_crash(tables[2], "e2", 10.0)
-    # Each has a clock of its own; a report tells how long ago it was.
+    # Clocks of instances differ, so that reports contain ages instead of times.
     reports = [
         item for table in tables[1:] for item in table.list_own_crashes(Seconds(11.0))
     ]
