--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -152,7 +152,7 @@
 
 
 def make_loads(backlog):
-    return {f"e{at}": EndpointLoad(1, held) for at, held in enumerate(backlog)}
+    return {f"e{at}": EndpointLoad(1, seconds) for at, seconds in enumerate(backlog)}
 
 
 def test_p95_wait_is_shorter_than_with_two_random_choices():
