--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -17,12 +17,12 @@
 
 
 class PromptPart(Struct, frozen=True):
-    """A section of a prompt that other requests may share.
+    """A part of a prompt that other requests may share.
 
     Parameters
     ----------
     id : str
-        Identifies the content; equal sections have equal ids.
+        Identifies the content; equal parts have equal ids.
     tokens : int
         Length in tokens.
     """
@@ -53,7 +53,7 @@
     expected_tokens : int
         The caller's estimate of generated tokens; 0 if it gave none.
     prompt : tuple of PromptPart
-        Sections of the prompt in order; the last one is not shared.
+        Parts of the prompt in order; the last one is not shared.
     last_event : str
         Id of the last event that the caller received; empty for a new stream.
     """
--- a/packages/core/src/bergamotwood_core/gateway/configuration.py
+++ b/packages/core/src/bergamotwood_core/gateway/configuration.py
@@ -63,7 +63,7 @@
     models : tuple of ModelName
         Models to choose from, smallest first; empty if there is no choice.
     keeps_session : bool
-        Whether requests of a session are sent to the same endpoint.
+        Whether requests of a session should go to the same endpoint.
     resumable : bool
         Whether a stream may resume at another endpoint.
     """
--- a/packages/core/src/bergamotwood_core/gateway/placement.py
+++ b/packages/core/src/bergamotwood_core/gateway/placement.py
@@ -72,7 +72,7 @@
     uncached_shared_tokens : int
         Those of them that are shared with other requests.
     is_guess : bool
-        Whether the cached tokens are only assumed because other instances prefer the
+        Whether the cached tokens are only assumed because all instances prefer the
         endpoint.
     """
 
--- a/packages/core/src/bergamotwood_core/gateway/rollout.py
+++ b/packages/core/src/bergamotwood_core/gateway/rollout.py
@@ -156,7 +156,7 @@
     def find_regressed_route(
         self, rollout: ServiceRollout, evidence: Sequence[VersionEvidence], now: Seconds
     ) -> str | None:
-        """Return a route on which the new version is bad; None without evidence."""
+        """Return a route on which the new version is shown to be bad, if any."""
         candidate = _sum_by_route(evidence, rollout, of_target=True)
         current = _sum_by_route(evidence, rollout, of_target=False)
         if (
--- a/packages/core/src/bergamotwood_core/gateway/state_machine.py
+++ b/packages/core/src/bergamotwood_core/gateway/state_machine.py
@@ -11,7 +11,7 @@
 from bergamotwood_core.states import EndpointState
 
 # Departures are kept to reject delayed heartbeats. Heartbeats are delayed by seconds,
-# and at most a few endpoints depart per second.
+# and at most a few endpoints depart per second, so this number covers any delay.
 MAX_DEPARTURES = 4_096
 
 
