--- a/tests/daemon/gateway/test_replica.py
+++ b/tests/daemon/gateway/test_replica.py
@@ -1,7 +1,7 @@
 from random import Random
 
 import pytest
-from core.gateway.samples import PLAIN, make_beat, make_configuration, make_route
+from core.gateway.samples import PLAIN, make_configuration, make_heartbeat, make_route
 from daemon.gateway.harness import PlainDialect
 from gevent import Timeout, sleep
 from msgspec.structs import replace
@@ -186,19 +186,19 @@
     fleet.retry(lambda: fleet.find(leads=True)[1].replace_configuration(b"7"))
     control_states = [fleet.add_entry() for _ in range(3)]
     seeds = list(fleet.replicas)
-    fleet.replicas[seeds[0]].record_heartbeat(make_beat())
+    fleet.replicas[seeds[0]].record_heartbeat(make_heartbeat())
     endpoint = EndpointId("e-1")
     fleet.wait_for(
         lambda: all(endpoint in control_state.beats for control_state in control_states)
     )
-    leaving = make_beat(sequence=Sequence(2), state=EndpointState.LEAVING)
+    leaving = make_heartbeat(sequence=Sequence(2), state=EndpointState.LEAVING)
     fleet.retry(lambda: fleet.replicas[seeds[1]].record_heartbeat(leaving))
     fleet.wait_for(
         lambda: (
             not any(endpoint in control_state.beats for control_state in control_states)
         )
     )
-    fleet.replicas[seeds[2]].record_heartbeat(make_beat(sequence=Sequence(3)))
+    fleet.replicas[seeds[2]].record_heartbeat(make_heartbeat(sequence=Sequence(3)))
     sleep(0.3)
     assert not any(endpoint in control_state.beats for control_state in control_states)
 
