--- a/packages/core/src/bergamotwood_core/admission.py
+++ b/packages/core/src/bergamotwood_core/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: fair shares, priorities and early refusal."""
+"""Admission control with weighted fair shares, priorities and early refusal."""
 
 from dataclasses import dataclass, field
 from itertools import count
@@ -11,9 +11,9 @@
 from bergamotwood_core.states import Priority
 
 DEFAULT_POOL = ""
-# Slots beyond the limit, as a part of it, for workspaces below their share.
+# Extra slots, as a fraction of the limit, for workspaces below their fair share.
 RESERVE_RATIO = 0.15
-# Weight of the newest running time in the moving average.
+# Smoothing factor of the moving average of service times.
 SERVICE_TIME_SMOOTHING = 0.1
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 30.0
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Bounds of admission at one entry.
+    """Limits of admission at one entry.
 
     Parameters
     ----------
     limit : int
-        Requests run at once in a pool whose limit was not set.
+        Concurrent requests of a pool until its limit is set.
     max_queued : int
-        Requests of one workspace that wait for one pool.
+        Maximum queue length of one workspace in one pool.
     max_wait_seconds : float
-        Longest expected wait that is worth queueing for.
+        Longest expected wait with which a request is still queued.
     service_seconds : float
-        How long a request runs, until that is measured.
+        Initial estimate of how long a request runs.
     """
 
     limit: int = 64
@@ -43,17 +43,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request runs now."""
+    """The request holds a slot and runs now."""
 
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits; `release` or `expire` names it later.
+    """The request waits in a queue until `release` or `expire` returns its id.
 
     Parameters
     ----------
     displaced : tuple of RequestId
-        Requests of lower priority that lost their place and are refused now.
+        Lower-priority requests that were removed from the queue and must be refused.
     """
 
     displaced: tuple[RequestId, ...] = ()
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request is refused and did not run.
+    """The request is refused without having run.
 
     Parameters
     ----------
     code : Code
-        Why.
+        Reason for the refusal.
     retry_after : float
-        Seconds after which a retry is worth trying.
+        Seconds after which the caller should retry.
     """
 
     code: Code
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True)
 class _QueuedRequest:
-    """A request in a queue."""
+    """A queued request."""
 
     id: RequestId
     priority: Priority
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True)
 class _WorkspaceQueue:
-    """One workspace in one pool; the queue is in the order of service."""
+    """State of one workspace in one pool; `requests` is in the order of service."""
 
     workspace: Workspace
     in_flight: int = 0
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class _PoolState:
-    """Slots and queues of one pool."""
+    """Slots, queues and mean service time of one pool."""
 
     limit: int
     service_seconds: float
@@ -119,13 +119,13 @@
 class AdmissionController:
     """Shares the slots of each pool fairly among workspaces.
 
-    A free slot goes to the workspace that holds the least for its share; inside
-    a workspace the higher priority goes first, then the older request.
+    A free slot goes to the workspace with the fewest running requests relative to
+    its share. Within a workspace, requests run by priority, then in arrival order.
 
     Parameters
     ----------
     settings : AdmissionSettings
-        Bounds.
+        Limits.
     """
 
     def __init__(self, settings: AdmissionSettings) -> None:
@@ -138,12 +138,12 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return len(self._queued)
 
     @property
     def in_flight(self) -> int:
-        """Requests that hold a slot."""
+        """Number of running requests."""
         return len(self._running)
 
     def offer(
@@ -160,17 +160,17 @@
         Parameters
         ----------
         request : RequestId
-            Its id.
+            Id of the request.
         workspace : Workspace
-            Whose it is, with share and limit.
+            Workspace of the request, with its share and limit.
         priority : Priority
-            Rank inside the workspace.
+            Priority within the workspace.
         deadline : Seconds
-            Last moment at which starting it is still of use.
+            Latest time at which the request may start.
         now : Seconds
-            Time of the offer.
+            Current time.
         pool : str
-            What it needs capacity of.
+            Pool whose capacity the request needs.
         """
         state = self._find_pool(pool)
         queue = state.queues.setdefault(workspace.key, _WorkspaceQueue(workspace))
@@ -189,12 +189,12 @@
         return self._enqueue(pool, state, queue, waiting)
 
     def release(self, request: RequestId, now: Seconds) -> tuple[RequestId, ...]:
-        """Give a slot back.
+        """Release the slot of a finished request.
 
         Returns
         -------
         tuple of RequestId
-            Queued requests that run now.
+            Queued requests that start now.
         """
         running = self._running.pop(request, None)
         if running is None:
@@ -208,12 +208,12 @@
         return self._admit_queued(now)
 
     def cancel(self, request: RequestId, now: Seconds) -> tuple[RequestId, ...]:
-        """Forget a request whose caller has gone, wherever it stands.
+        """Remove a request whose caller has gone, whether queued or running.
 
         Returns
         -------
         tuple of RequestId
-            Queued requests that run now.
+            Queued requests that start now.
         """
         if request in self._queued:
             self._dequeue(request)
@@ -221,12 +221,12 @@
         return self.release(request, now)
 
     def expire(self, now: Seconds) -> tuple[RequestId, ...]:
-        """Give up queued requests that can no longer be of use.
+        """Remove queued requests whose deadline has passed.
 
         Returns
         -------
         tuple of RequestId
-            They are to be refused at once.
+            Removed requests, which the caller must refuse.
         """
         expired = [
             waiting.id
@@ -240,24 +240,24 @@
         return tuple(expired)
 
     def set_limit(self, pool: str, limit: int, now: Seconds) -> tuple[RequestId, ...]:
-        """Set how many requests run at once in a pool.
+        """Set the number of concurrent requests of a pool.
 
         Returns
         -------
         tuple of RequestId
-            Queued requests that run now.
+            Queued requests that start now.
         """
         self._find_pool(pool).limit = max(1, limit)
         return self._admit_queued(now)
 
     def estimate_retry_after(self, pool: str = DEFAULT_POOL) -> float:
-        """Estimate in how many seconds the pool's queue is worked off."""
+        """Estimate the time until the queues of a pool are empty, in seconds."""
         state = self._find_pool(pool)
         waiting = sum(len(queue.requests) for queue in state.queues.values())
         return _clamp_retry_after((waiting + 1) * state.service_seconds / state.limit)
 
     def _find_pool(self, pool: str) -> _PoolState:
-        """Find or make the state of a pool."""
+        """Return the state of a pool, creating it if necessary."""
         state = self._pools.get(pool)
         if state is None:
             state = _PoolState(self.settings.limit, self.settings.service_seconds)
@@ -265,7 +265,7 @@
         return state
 
     def _has_free_slot(self, state: _PoolState, queue: _WorkspaceQueue) -> bool:
-        """Whether the pool and the workspace may run one more."""
+        """Whether the limits of pool and workspace allow one more request."""
         if self._in_flight.get(queue.workspace.key, 0) >= queue.workspace.max_in_flight:
             return False
         limit = state.limit
@@ -295,7 +295,7 @@
         queue: _WorkspaceQueue,
         waiting: _QueuedRequest,
     ) -> Queued | Refused:
-        """Put a request in its workspace's queue, at the place of its priority."""
+        """Insert a request into its workspace's queue by priority."""
         displaced: tuple[RequestId, ...] = ()
         if len(queue.requests) >= self.settings.max_queued:
             last = queue.requests[-1]
@@ -308,7 +308,7 @@
         return Queued(displaced)
 
     def _admit_queued(self, now: Seconds) -> tuple[RequestId, ...]:
-        """Fill the free slots from the queues."""
+        """Start queued requests while slots are free."""
         started: list[RequestId] = []
         for pool, state in self._pools.items():
             while (queue := self._choose_queue(state)) is not None:
@@ -319,7 +319,7 @@
         return tuple(started)
 
     def _choose_queue(self, state: _PoolState) -> _WorkspaceQueue | None:
-        """Choose the workspace that holds the least for its share."""
+        """Choose the workspace with the fewest running requests for its share."""
         queues = [
             queue
             for queue in state.queues.values()
@@ -335,7 +335,7 @@
         )
 
     def _dequeue(self, request: RequestId) -> None:
-        """Take a request out of its queue."""
+        """Remove a request from its queue."""
         pool, workspace = self._queued.pop(request)
         queue = self._pools[pool].queues[workspace]
         queue.requests = [
@@ -343,14 +343,14 @@
         ]
 
     def _find_refusal_code(self, queue: _WorkspaceQueue) -> Code:
-        """Say whether the workspace's own limit or the load is in the way."""
+        """Return the code that tells the workspace's own limit from overload."""
         running = self._in_flight.get(queue.workspace.key, 0)
         if running >= queue.workspace.max_in_flight:
             return Code.WORKSPACE_LIMIT
         return Code.OVERLOADED
 
     def _refuse(self, code: Code, state: _PoolState, queue: _WorkspaceQueue) -> Refused:
-        """Refuse, with the time until the workspace's queue is worked off."""
+        """Refuse, with the expected time until the workspace's queue is empty."""
         return Refused(
             code, _clamp_retry_after(_estimate_wait(state, queue, len(queue.requests)))
         )
@@ -359,23 +359,24 @@
 def compute_limit(
     capacity: float, reported_load: float, in_flight: int, entries: int
 ) -> int:
-    """Compute how many requests one entry may run at once in a pool.
+    """Compute the limit of concurrent requests of one entry in a pool.
 
     Parameters
     ----------
     capacity : float
-        Requests that all endpoints of the pool run at once.
+        Concurrent requests that the endpoints of the pool can run in total.
     reported_load : float
-        Requests that they run or queue now, from all entries.
+        Requests from all entries that the endpoints run or queue now.
     in_flight : int
-        Requests of this entry among them.
+        Requests of this entry among `reported_load`.
     entries : int
         Live entries, this one included.
 
     Returns
     -------
     int
-        The entry's even part, or more while endpoints have room to spare.
+        An equal share of the capacity, or more while the endpoints have spare
+        capacity.
     """
     share = capacity / max(1, entries)
     spare = (capacity - reported_load) / max(1, entries)
@@ -383,7 +384,7 @@
 
 
 def _count_ahead(queue: _WorkspaceQueue, waiting: _QueuedRequest) -> int:
-    """Count the queued requests of the workspace that go first."""
+    """Count the queued requests of the workspace that are served earlier."""
     for position, other in enumerate(queue.requests):
         if (other.priority, other.arrival_number) > (
             waiting.priority,
@@ -394,7 +395,7 @@
 
 
 def _compute_fair_share(state: _PoolState, queue: _WorkspaceQueue) -> float:
-    """Count the slots that are the workspace's share of a pool."""
+    """Compute the workspace's fair share of a pool's slots, at least 1."""
     active = sum(
         other.workspace.share
         for other in state.queues.values()
@@ -404,10 +405,10 @@
 
 
 def _estimate_wait(state: _PoolState, queue: _WorkspaceQueue, ahead: int) -> float:
-    """Estimate how long a request with so many ahead of it waits, in seconds.
+    """Estimate the wait of a request with `ahead` requests before it, in seconds.
 
-    Up to its share the workspace gets every slot that comes free; beyond it, only
-    those that it frees itself.
+    Below its fair share, the workspace gets every slot that becomes free. At or
+    above it, the workspace gets only the slots that its own requests release.
     """
     slots = min(_compute_fair_share(state, queue), queue.workspace.max_in_flight)
     within_share = min(ahead + 1.0, max(0.0, slots - queue.in_flight))
@@ -416,5 +417,5 @@
 
 
 def _clamp_retry_after(seconds: float) -> float:
-    """Keep a retry delay within its bounds."""
+    """Limit a retry delay to the allowed range."""
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
--- a/packages/core/src/bergamotwood_core/allocation.py
+++ b/packages/core/src/bergamotwood_core/allocation.py
@@ -10,15 +10,15 @@
     filter_low_quality,
 )
 
-# Price of a rating while there are enough, as a share of the least cost.
+# Price of a rating while the budget suffices, as a fraction of the lowest cost.
 MIN_RATING_PRICE_SHARE = 0.02
-# Steps of the search for the price of a rating.
+# Bisection steps of the search for the price of a rating.
 PRICE_SEARCH_STEPS = 6
 
 
 @dataclass(frozen=True, slots=True)
 class OptionMix:
-    """Two options of one class; `share` of the requests take the higher one."""
+    """Two options of one segment; `share` of the requests use the `high` one."""
 
     low: Option
     high: Option
@@ -32,25 +32,29 @@
     ratings_per_request: float,
     allow_excess: bool,
 ) -> list[OptionMix]:
-    """Mixes of least cost at a mean quality, within a limit on ratings.
+    """Find the mixes of least cost for a mean quality, within a limit on ratings.
+
+    Bisects over a price per rating, in cost units, until the expected number of
+    ratings meets the limit.
 
     Parameters
     ----------
     options : sequence of sequence of Option
-        Options of each class.
+        Options of each segment.
     weights : sequence of float
-        Share of the requests in each class.
+        Share of the requests in each segment.
     target : float
-        Wanted mean quality over all classes.
+        Target mean quality over all segments.
     ratings_per_request : float
-        Ratings that may be used for each request.
+        Limit on the mean number of ratings per request.
     allow_excess : bool
-        Whether saved ratings allow to go a little over that limit.
+        Whether the limit may be exceeded slightly, because unused ratings have
+        accumulated.
 
     Returns
     -------
-    list of Mix
-        One for each class.
+    list of OptionMix
+        One mix for each segment.
     """
     costs = [option.cost for listed in options for option in listed]
     low, high = MIN_RATING_PRICE_SHARE * min(costs), max(costs)
@@ -71,7 +75,7 @@
 def find_unrated_mixes(
     options: Sequence[Sequence[Option]], weights: Sequence[float], target: float
 ) -> list[OptionMix]:
-    """Mixes of least cost that need no ratings."""
+    """Find the mixes of least cost among options without ratings."""
     singles = [[o for o in listed if not o.ratings] for listed in options]
     return _allocate_at_price(singles, weights, target, 0.0)
 
@@ -79,21 +83,24 @@
 def allocate(
     hulls: Sequence[Sequence[Option]], weights: Sequence[float], target: float
 ) -> list[OptionMix]:
-    """Mix of options for each class, of least cost at a mean quality.
+    """Allocate a mix of options to each segment, at least cost for a mean quality.
+
+    Upgrades along the hulls in the order of their marginal cost of quality until
+    the target is reached.
 
     Parameters
     ----------
     hulls : sequence of sequence of Option
-        One hull for each class.
+        Hull of each segment.
     weights : sequence of float
-        Share of the requests in each class; they sum to 1.
+        Share of the requests in each segment; they sum to 1.
     target : float
-        Wanted mean quality over all classes.
+        Target mean quality over all segments.
 
     Returns
     -------
-    list of Mix
-        One for each class; the best quality there is if the target is too high.
+    list of OptionMix
+        One mix for each segment, with the best quality if the target is out of reach.
     """
     mixes = [OptionMix(hull[0], hull[0]) for hull in hulls]
     quality = sum(w * m.low.quality for w, m in zip(weights, mixes, strict=True))
--- a/packages/core/src/bergamotwood_core/budget.py
+++ b/packages/core/src/bergamotwood_core/budget.py
@@ -1,24 +1,24 @@
-"""Limit on ratings: a token bucket that slows down when it is refused."""
+"""Rate limit of rating requests: a token bucket that backs off after refusals."""
 
 from bergamotwood_core.clock import Seconds
 
-# Requests that the moving average of the request rate remembers.
+# Window of the moving average of request intervals, in requests.
 RATE_WINDOW_REQUESTS = 100.0
-# Factor on the rate after a refusal, and its recovery per second.
+# Multiplier of the refill rate after a refusal, and its recovery per second.
 REFUSAL_FACTOR = 0.5
 RECOVERY_PER_SECOND = 0.01
 MIN_RATE_FACTOR = 0.02
 
 
 class RatingBudget:
-    """Ratings that this entry may ask for now.
+    """Token bucket of the ratings that this entry may request.
 
     Parameters
     ----------
     per_second : float
-        Tokens added each second.
+        Tokens added per second.
     burst : float
-        Tokens held at most.
+        Capacity of the bucket, in tokens.
     """
 
     def __init__(self, per_second: float, burst: float) -> None:
@@ -32,18 +32,18 @@
 
     @property
     def ratings_per_request(self) -> float:
-        """Ratings that can be had for each request, at most."""
+        """Maximum mean number of ratings per request."""
         if self._interval <= 0.0:
             return self.burst
         return self.per_second * self._rate_factor * self._interval
 
     def compute_fill_level(self, now: Seconds) -> float:
-        """Share of the burst that is there."""
+        """Compute the fill level of the bucket, as a fraction of its capacity."""
         self._refill(now)
         return self._tokens / self.burst
 
     def count_request(self, now: Seconds) -> None:
-        """Learn the rate of requests."""
+        """Update the mean interval between requests."""
         if self._requested_at is not None:
             elapsed = now - self._requested_at
             weight = 1.0 / RATE_WINDOW_REQUESTS if self._interval else 1.0
@@ -51,19 +51,19 @@
         self._requested_at = now
 
     def take(self, now: Seconds, amount: float = 1.0) -> bool:
-        """Take tokens if at least one is there.
+        """Take tokens if at least one is available.
 
         Parameters
         ----------
         now : Seconds
-            The time.
+            Current time.
         amount : float
-            Ratings expected; a little more than there are may be taken.
+            Expected number of ratings; the balance may become negative.
 
         Returns
         -------
         bool
-            Whether they were taken.
+            Whether the tokens were taken.
         """
         self._refill(now)
         if self._tokens < 1.0:
@@ -72,7 +72,7 @@
         return True
 
     def record_refusal(self, now: Seconds) -> None:
-        """Note that the service refused a rating."""
+        """Empty the bucket and lower its refill rate after a refused rating."""
         self._refill(now)
         self._tokens = 0.0
         self._rate_factor = max(self._rate_factor * REFUSAL_FACTOR, MIN_RATE_FACTOR)
--- a/packages/core/src/bergamotwood_core/cascade.py
+++ b/packages/core/src/bergamotwood_core/cascade.py
@@ -1,4 +1,4 @@
-"""Which versions answer a request, in what order, for least cost at the target."""
+"""Cascade policy: versions to try for a request, at least cost for a target quality."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -38,31 +38,32 @@
 
 SHORT_PROMPT_TOKENS = 512
 MEDIUM_PROMPT_TOKENS = 4_096
-# Quality believed of the dearest candidate and of the others before any rating.
+# Prior mean quality of the most expensive candidate and of the others.
 MOST_EXPENSIVE_PRIOR = 0.9
 DEFAULT_PRIOR = 0.6
-# Part of the way from one version to the best that the next one is believed to go.
+# The prior of the next version lies this far between the mean quality of the
+# previous version and MOST_EXPENSIVE_PRIOR.
 PRIOR_INTERPOLATION = 0.25
-# Share of the cost that a version has to save to be worth a try.
+# Least expected cost saving, as a fraction, for which a version is explored.
 MIN_SAVING_SHARE = 0.2
-# Quality that an answer loses on average when another version failed before.
+# Prior mean quality loss on requests where another version's answer was rejected.
 ESCALATION_LOSS = 0.05
-# Ratings that this belief counts as.
+# Weight of that prior, in ratings.
 ESCALATION_PRIOR_WEIGHT = 5.0
-# Ratings with which a version counts as known.
+# Rating weight from which the quality of a version counts as known.
 KNOWN_QUALITY_RATINGS = 40.0
-# Share of the ratings that is for samples.
+# Share of the rating budget that is reserved for sampling.
 SAMPLE_BUDGET_SHARE = 0.12
-# Share of the answers that were rated before that are rated again.
+# Share of rated answers that are rated a second time to estimate selection bias.
 REPEAT_RATING_SHARE = 0.05
 MAX_ESTIMATES = 4_096
 MAX_WORKSPACES = 1_024
-# Level of the rating budget above which more is spent than comes in.
+# Fill level of the rating budget above which ratings may exceed the refill rate.
 SURPLUS_BUDGET_LEVEL = 0.5
 
 
 def classify_request(prompt_tokens: int, explicit: str | None = None) -> RequestClass:
-    """Class that a caller names, or else one by the size of the prompt."""
+    """Return the class named by the caller, or one chosen by prompt size."""
     if explicit is not None and fullmatch(NAME_PATTERN, explicit):
         return RequestClass(explicit)
     if prompt_tokens <= SHORT_PROMPT_TOKENS:
@@ -74,30 +75,30 @@
 
 @dataclass(frozen=True, slots=True)
 class CascadeSettings:
-    """Settings of the policy.
+    """Settings of the cascade policy.
 
     Parameters
     ----------
     source : str
-        This entry and its incarnation, as evidence names it.
+        Entry and incarnation, the source name in evidence messages.
     ratings_per_second : float
-        Ratings that this entry may ask for.
+        Ratings that this entry may request per second.
     rating_burst : float
-        Ratings that it may ask for at once.
+        Ratings that this entry may request in a burst.
     rating_seconds : float
-        Time that one rating takes.
+        Duration of one rating.
     sample_share : float
-        Share of the answers of little-known quality that are rated afterwards.
+        Share of returned answers that are rated while quality is poorly known.
     explore_share : float
-        Share of the requests that try a version which may save all of the cost.
+        Share of requests that explore a version, scaled by its expected saving.
     exploration_bonus : float
-        Standard errors by which such a version may be better.
+        Standard errors added to the quality of a version to be explored.
     uncertainty_penalty : float
-        Standard errors that unrated quality is lowered by.
+        Standard errors subtracted from the quality of unrated answers.
     quality_margin : float
-        Quality aimed at above the target.
+        Quality above the target that the policy aims for.
     replan_seconds : float
-        Age at which a workspace's allocation is made anew.
+        Age at which the allocation of a workspace is recomputed.
     """
 
     source: str = ""
@@ -114,20 +115,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CascadePlan:
-    """Steps to try in order; the last one is returned whatever it gives."""
+    """Steps in execution order; the answer of the last one is always returned."""
 
     steps: tuple[Step, ...] = ()
 
 
 class CascadePolicy:
-    """Learns from ratings and plans the cascade of each request.
+    """Plans the cascade of each request from the ratings of earlier answers.
 
     Parameters
     ----------
     settings : CascadeSettings
-        Limits and margins.
+        Settings of the policy.
     rng : Random
-        Seeded generator.
+        Seeded random number generator.
     """
 
     def __init__(self, settings: CascadeSettings, rng: Random) -> None:
@@ -160,20 +161,20 @@
         Parameters
         ----------
         workspace : Workspace
-            Whose request; candidates it may not use are left out.
+            Workspace of the request; candidates that it may not use are left out.
         request_class : RequestClass
-            Kind of request.
+            Class of the request.
         candidates : sequence of Candidate
-            In the order of the cascade, cheaper before dearer.
+            Candidates in cascade order, from cheap to expensive.
         prompt_tokens : int
-            Size of the prompt.
+            Length of the prompt.
         now, deadline : Seconds
-            The time, and when the first token has to be out.
+            Current time, and the latest time for the first token.
 
         Returns
         -------
         Plan
-            Empty when the workspace may use none of the candidates.
+            Empty if the workspace may use none of the candidates.
         """
         allowed = set(workspace.versions)
         usable = [c for c in candidates if c.version in allowed]
@@ -196,7 +197,7 @@
     def record_answer(
         self, request_class: RequestClass, version: VersionId, usage: Usage
     ) -> None:
-        """Learn the size and speed of a version's answers."""
+        """Update the averages of length and decoding time of a version's answers."""
         key = (request_class, version)
         average = self._usage.setdefault(key, UsageAverage())
         average.add(usage)
@@ -205,35 +206,35 @@
             self._usage.popitem(last=False)
 
     def record_rating(self, key: EstimateKey, score: float, now: Seconds) -> None:
-        """Learn from one rating of this entry; an invalid score is dropped."""
+        """Record a rating made by this entry; an invalid score is dropped."""
         if not is_valid_score(score):
             return
         self.find_estimate(key).add(score)
         self._collector.add(key, find_bin(score), score)
 
     def record_refusal(self, now: Seconds) -> None:
-        """Learn that the rating service refused."""
+        """Record that the rating service refused a request."""
         self.budget.record_refusal(now)
         self.sample_budget.record_refusal(now)
 
     def record_repeated_rating(self, first: float, second: float) -> None:
-        """Learn from the second rating of an answer that was rated before."""
+        """Update the selection bias from two ratings of the same answer."""
         if is_valid_score(first) and is_valid_score(second):
             self._selection_bias.add(first, second)
 
     def record_returned_answer(
         self, workspace: Workspace, key: EstimateKey, score: float | None
     ) -> None:
-        """Learn which answer the caller got.
+        """Record the quality of the answer that was returned to the caller.
 
         Parameters
         ----------
         workspace : Workspace
-            Whose request.
+            Workspace of the request.
         key : EstimateKey
-            What answered.
+            Estimate that the answer belongs to.
         score : float or None
-            Rating with which it was accepted, if it was rated.
+            Score with which the answer was accepted, None if it was not rated.
         """
         if score is None:
             estimate = self.find_estimate(key)
@@ -248,21 +249,22 @@
     def should_sample(
         self, key: EstimateKey, now: Seconds, rated: bool = False
     ) -> bool:
-        """Whether an answer that was returned should be rated afterwards.
+        """Decide whether a returned answer should be rated as a sample.
 
         Parameters
         ----------
         key : EstimateKey
-            What answered.
+            Estimate that the answer belongs to.
         now : Seconds
-            The time.
+            Current time.
         rated : bool
-            Whether it was rated before; pass its score to `record_repeated_rating`.
+            Whether the answer was rated before it was returned. The caller then
+            passes the new score to `record_repeated_rating`.
 
         Returns
         -------
         bool
-            True for a share that falls as the quality becomes known.
+            True for a share of the answers that falls as ratings accumulate.
         """
         weight = self.find_estimate(key).weight
         chance = REPEAT_RATING_SHARE
@@ -273,11 +275,11 @@
         return self._take_sample(weight, now)
 
     def take_evidence(self) -> Evidence:
-        """Ratings since the last call, to be sent to the other entries."""
+        """Return the ratings since the last call, to be sent to the other entries."""
         return self._collector.take()
 
     def merge_evidence(self, evidence: Evidence) -> None:
-        """Learn from another entry; its own and repeated messages are dropped."""
+        """Add the ratings of another entry; own and repeated messages are dropped."""
         if evidence.source == self.settings.source:
             return
         if not self._filter.accept(evidence.source, evidence.sequence):
@@ -288,7 +290,7 @@
                 estimate.add(score)
 
     def find_estimate(self, key: EstimateKey) -> Estimate:
-        """Find the estimate of a cell, made with its prior if it is new."""
+        """Return the estimate of a key, creating it with the default prior."""
         estimate = self._estimates.get(key)
         if estimate is None:
             estimate = self._estimates[key] = Estimate(DEFAULT_PRIOR)
--- a/packages/core/src/bergamotwood_core/comparison.py
+++ b/packages/core/src/bergamotwood_core/comparison.py
@@ -1,4 +1,4 @@
-"""Comparison of a candidate's outcomes with those of the current version."""
+"""Statistical comparison of a candidate with the current version."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -9,23 +9,23 @@
 from bergamotwood_core.outcome import LATENCY_BINS, ArmCounts
 from bergamotwood_core.sequential import Loss, bet_above, bet_below
 
-# Share of the current version's first tokens that count as slow, at most.
+# Maximum share of the current version's first tokens that count as slow.
 SLOW_SHARE = 0.1
-# Standard errors that a baseline is raised by, as it is measured too.
+# Standard errors added to a baseline, because it is itself an estimate.
 BASELINE_STANDARD_ERRORS = 1.0
-# Outcomes of the current version that make a baseline.
+# Minimum number of outcomes of the current version for a baseline.
 MIN_BASELINE_OUTCOMES = 20
 
 
 class Metric(StrEnum):
-    """What is compared."""
+    """Metric of a comparison."""
 
     FAILURES = "failures"
     LATENCY = "latency"
     QUALITY = "quality"
 
 
-# Loss above the current version's that is never held against a candidate.
+# Excess loss over the current version that is always tolerated.
 TOLERANCES = {Metric.FAILURES: 0.005, Metric.LATENCY: 0.03, Metric.QUALITY: 0.01}
 
 
@@ -36,7 +36,7 @@
     Parameters
     ----------
     metric : Metric
-        What is compared.
+        Metric of the loss.
     mean, error : float
         Mean loss and its standard error.
     slow_bin : int
@@ -50,13 +50,13 @@
 
     @property
     def bound(self) -> float:
-        """Mean loss that a candidate may have."""
+        """Maximum tolerated mean loss of a candidate."""
         raised = self.mean + BASELINE_STANDARD_ERRORS * self.error
         return raised + TOLERANCES[self.metric]
 
 
 def list_baselines(current: ArmCounts) -> list[Baseline]:
-    """Baseline of each metric that the current version has outcomes for."""
+    """List the baselines of the metrics with enough outcomes."""
     slow_bin = _find_slow_bin(current)
     baselines: list[Baseline] = []
     for metric in Metric:
@@ -74,9 +74,10 @@
 def compute_harm_capital(
     baseline: Baseline, candidate: ArmCounts, since: ArmCounts
 ) -> float:
-    """Capital against the claim that the candidate is no worse.
+    """Compute the capital against the claim that the candidate is no worse.
 
-    Requests in flight count as good, so that failures that end early don't bias it.
+    Requests in flight count as successful. Otherwise failures, which end earlier
+    than successful requests, would bias the test.
     """
     losses = list_losses(baseline.metric, candidate, since, baseline.slow_bin)
     return bet_above(losses, baseline.bound)
@@ -85,7 +86,7 @@
 def compute_safety_capital(
     baseline: Baseline, candidate: ArmCounts, margin: float
 ) -> float:
-    """Capital against the claim that the candidate is worse by a margin."""
+    """Compute the capital against the claim that the candidate is worse by a margin."""
     losses = list_losses(
         baseline.metric, candidate, ArmCounts(), baseline.slow_bin, finished_only=True
     )
@@ -99,14 +100,14 @@
     slow_bin: int,
     finished_only: bool = False,
 ) -> list[Loss]:
-    """Losses of one version on a metric.
+    """List the losses of one version on a metric.
 
     Parameters
     ----------
     metric : Metric
-        Which loss.
+        Metric of the losses.
     arm, since : ArmCounts
-        Counts now and at an earlier time; the losses are those in between.
+        Counts now and at an earlier time; the losses between them are listed.
     slow_bin : int
         First latency bin that counts as slow.
     finished_only : bool
@@ -155,18 +156,18 @@
     test_starts: Sequence[tuple[float, ArmCounts]],
     false_stop_rate: float,
 ) -> Metric | None:
-    """Metric on which the candidate is shown to be worse, if there is one.
+    """Find a metric on which the candidate is shown to be worse.
 
     Parameters
     ----------
     baselines : sequence of Baseline
-        The current version.
+        Baselines of the current version.
     candidate : ArmCounts
-        The candidate.
+        Counts of the candidate.
     test_starts : sequence of tuple
-        Weights, 1 in all, and counts from which the tests start.
+        Weight of each test, with a sum of at most 1, and counts from which it starts.
     false_stop_rate : float
-        Chance, at any time, of stopping a candidate that is no worse.
+        Probability of ever stopping a candidate that is no worse.
     """
     limit = len(Metric) / false_stop_rate
     for baseline in baselines:
--- a/packages/core/src/bergamotwood_core/estimate.py
+++ b/packages/core/src/bergamotwood_core/estimate.py
@@ -1,4 +1,4 @@
-"""Estimates of quality from ratings, with uncertainty and forgetting."""
+"""Estimates of quality from ratings, with uncertainty and exponential forgetting."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -6,62 +6,62 @@
 from math import sqrt
 
 SCORE_BINS = 20
-# Ratings that the long-run estimate remembers, as a forgetting time constant.
+# Time constant of exponential forgetting, in ratings.
 RATING_TIME_CONSTANT = 300.0
-# Newest ratings that are compared with the long-run estimate.
+# Number of newest ratings that are compared with the long-run mean.
 RECENT_RATINGS = 12
-# Standard errors between the newest ratings and the long run that mean a change.
+# Difference from the long-run mean that counts as a change, in standard errors.
 CHANGE_THRESHOLD_ERRORS = 3.5
-# Ratings that are kept at least when quality has changed.
+# Minimum number of ratings kept after a detected change.
 MIN_RATINGS_AFTER_CHANGE = 4
-# Ratings that a prior counts as.
+# Weight of a prior, in ratings.
 PRIOR_RATINGS = 4.0
-# Scores of a good and of a poor answer, as a prior has them.
+# A prior is a mixture of these scores of a good and a poor answer.
 GOOD_SCORE = 0.92
 POOR_SCORE = 0.35
-# Selection bias believed before any answer was rated twice.
+# Prior mean of the selection bias.
 PRIOR_BIAS = 0.03
-# Pairs of ratings that this belief counts as.
+# Weight of that prior, in pairs of ratings.
 PRIOR_BIAS_RATINGS = 20.0
 
 
 def find_bin(score: float) -> int:
-    """Index of the histogram bin that holds a score from 0 to 1."""
+    """Return the index of the histogram bin of a score from 0 to 1."""
     return min(int(score * SCORE_BINS), SCORE_BINS - 1)
 
 
 def is_valid_score(score: float) -> bool:
-    """Whether a number is a valid score; false for NaN."""
+    """Whether a number is a valid score, from 0 to 1; False for NaN."""
     return 0.0 <= score <= 1.0
 
 
 @dataclass(slots=True)
 class ScoreHistogram:
-    """Weights and sums of scores by bin; older scores weigh less.
+    """Weights and sums of scores by bin, with lower weights for older scores.
 
     Parameters
     ----------
     weights, totals : list of float
-        Discounted number and sum of the scores in each bin.
+        Discounted count and sum of the scores in each bin.
     """
 
     weights: list[float] = field(default_factory=lambda: [0.0] * SCORE_BINS)
     totals: list[float] = field(default_factory=lambda: [0.0] * SCORE_BINS)
 
     def add(self, score: float, weight: float = 1.0) -> None:
-        """Count one score."""
+        """Add one score."""
         index = find_bin(score)
         self.weights[index] += weight
         self.totals[index] += score * weight
 
     def discount(self, factor: float) -> None:
-        """Multiply the weight of everything counted so far."""
+        """Multiply all weights by a factor."""
         self.weights = [weight * factor for weight in self.weights]
         self.totals = [total * factor for total in self.totals]
 
     @property
     def weight(self) -> float:
-        """Discounted number of scores."""
+        """Discounted count of scores."""
         return sum(self.weights)
 
     @property
@@ -83,18 +83,18 @@
 
 @dataclass(slots=True)
 class Estimate:
-    """Quality of one version for one kind of request.
+    """Estimated quality of one version for one class of requests.
 
     Parameters
     ----------
     prior_mean : float
-        Quality believed before any rating; may be set anew.
+        Prior mean quality; may be changed later.
     prior_weight : float
-        Ratings that this belief counts as.
+        Weight of the prior, in ratings.
     ratings : ScoreHistogram
-        The ratings, with forgetting.
+        Ratings with exponential forgetting.
     recent : deque of float
-        Newest ratings, to notice a change.
+        Newest ratings, for change detection.
     """
 
     prior_mean: float
@@ -103,7 +103,7 @@
     recent: deque[float] = field(default_factory=lambda: deque(maxlen=RECENT_RATINGS))
 
     def add(self, score: float) -> None:
-        """Take one rating in; forget the past when quality has changed."""
+        """Add one rating; drop older ratings when a change of quality is detected."""
         self.ratings.discount(1.0 - 1.0 / RATING_TIME_CONSTANT)
         self.ratings.add(score)
         self.recent.append(score)
@@ -112,12 +112,12 @@
 
     @property
     def weight(self) -> float:
-        """Discounted number of ratings, with what the prior counts as."""
+        """Discounted count of ratings plus the weight of the prior."""
         return self.ratings.weight + self.prior_weight
 
     @property
     def mean(self) -> float:
-        """Mean quality."""
+        """Mean quality, including the prior."""
         total = sum(self.ratings.totals) + self.prior_mean * self.prior_weight
         return total / self.weight
 
@@ -130,19 +130,19 @@
     def list_acceptance(
         self, thresholds: Sequence[float], selection_bias: float
     ) -> list[tuple[float, float]]:
-        """Chance that a score reaches each threshold, and true quality given that.
+        """List the acceptance probability and quality at each threshold.
 
         Parameters
         ----------
         thresholds : sequence of float
-            Least accepted scores.
+            Minimum accepted scores.
         selection_bias : float
-            How far accepted scores lie above true quality.
+            Mean excess of accepted scores over true quality.
 
         Returns
         -------
         list of tuple of float
-            Chance of acceptance and mean quality of what is accepted.
+            Probability of acceptance and mean true quality of accepted answers.
         """
         histogram = self._add_prior()
         weight = histogram.weight
@@ -195,27 +195,27 @@
 
 @dataclass(slots=True)
 class SelectionBias:
-    """How far accepted scores lie above true quality, as they were selected.
+    """Mean excess of accepted scores over true quality, caused by their selection.
 
-    Learned from accepted answers that were rated twice: the second score was not
-    selected, so that it is lower on average.
+    Estimated from accepted answers that were rated twice: the second score was not
+    subject to selection, so it is lower on average.
 
     Parameters
     ----------
     total, weight : float
-        Discounted sum of the differences and their number.
+        Discounted sum and count of the score differences.
     """
 
     total: float = PRIOR_BIAS * PRIOR_BIAS_RATINGS
     weight: float = PRIOR_BIAS_RATINGS
 
     def add(self, first: float, second: float) -> None:
-        """Take in two scores of one accepted answer."""
+        """Add the two scores of one accepted answer."""
         factor = 1.0 - 1.0 / RATING_TIME_CONSTANT
         self.total = self.total * factor + first - second
         self.weight = self.weight * factor + 1.0
 
     @property
     def value(self) -> float:
-        """Mean difference."""
+        """Mean score difference."""
         return self.total / self.weight
--- a/packages/core/src/bergamotwood_core/evidence.py
+++ b/packages/core/src/bergamotwood_core/evidence.py
@@ -1,4 +1,4 @@
-"""Rating evidence that entries exchange, each message counted once."""
+"""Rating histograms that entries exchange, with each message counted once."""
 
 from collections import OrderedDict
 
@@ -7,26 +7,26 @@
 from bergamotwood_core.estimate import SCORE_BINS
 from bergamotwood_core.ids import RequestClass, VersionId, WorkspaceId
 
-# Cells in one message, and ratings taken from one cell of a message.
+# Maximum histograms per message, and ratings accepted from one histogram.
 MAX_MESSAGE_HISTOGRAMS = 512
 MAX_HISTOGRAM_RATINGS = 100
-# Senders whose newest sequence is remembered.
+# Maximum number of sources whose newest sequence is kept.
 MAX_SOURCES = 1_024
 
 
 class EstimateKey(Struct, frozen=True, array_like=True):
-    """What one estimate is about.
+    """Key of a quality estimate.
 
     Parameters
     ----------
     workspace : WorkspaceId
-        Whose requests.
+        Workspace of the requests.
     request_class : RequestClass
-        Kind of request.
+        Class of the requests.
     version : VersionId
-        What answered.
+        Version that answered.
     escalated : bool
-        Whether another version's answer was refused before.
+        Whether the answer of another version was rejected before.
     """
 
     workspace: WorkspaceId
@@ -36,14 +36,18 @@
 
 
 class EvidenceHistogram(Struct, frozen=True, array_like=True):
-    """New ratings of one cell: number and sum of the scores by bin."""
+    """New ratings for one estimate: count and sum of the scores by bin."""
 
     key: EstimateKey
     counts: tuple[int, ...]
     totals: tuple[float, ...]
 
     def list_scores(self) -> list[float]:
-        """Mean score of its bin for each rating; empty for a malformed cell."""
+        """List the mean score of its bin for each rating.
+
+        Bins with impossible values are skipped; the list is empty if the number of
+        bins is wrong.
+        """
         if len(self.counts) != SCORE_BINS or len(self.totals) != SCORE_BINS:
             return []
         scores: list[float] = []
@@ -55,14 +59,14 @@
 
 
 class Evidence(Struct, frozen=True, array_like=True):
-    """Ratings that one entry saw since its last message.
+    """Ratings of one entry since its last message.
 
     Parameters
     ----------
     source : str
-        The entry and its incarnation.
+        Entry and its incarnation.
     sequence : int
-        Rises with each message of a source.
+        Increases with each message of a source.
     histograms : tuple of EvidenceHistogram
         New ratings.
     """
@@ -73,12 +77,12 @@
 
 
 class EvidenceCollector:
-    """Counts the ratings of this entry until they are taken to be sent.
+    """Collects the ratings of this entry until they are sent.
 
     Parameters
     ----------
     source : str
-        This entry and its incarnation.
+        Entry and its incarnation.
     """
 
     def __init__(self, source: str) -> None:
@@ -87,7 +91,7 @@
         self._histograms: dict[EstimateKey, tuple[list[int], list[float]]] = {}
 
     def add(self, key: EstimateKey, index: int, score: float) -> None:
-        """Count one score in a bin; beyond the bound it stays local."""
+        """Add one score to a bin; a key beyond the message limit is not sent."""
         histogram = self._histograms.get(key)
         if histogram is None:
             if len(self._histograms) >= MAX_MESSAGE_HISTOGRAMS:
@@ -98,7 +102,7 @@
         histogram[1][index] += score
 
     def take(self) -> Evidence:
-        """Everything counted since the last call."""
+        """Return the ratings collected since the last call."""
         self._sequence += 1
         histograms = tuple(
             EvidenceHistogram(key, tuple(counts), tuple(totals))
@@ -109,13 +113,13 @@
 
 
 class SequenceFilter:
-    """Remembers the newest sequence of each source, to drop repeated messages."""
+    """Detects repeated messages by the newest sequence of each source."""
 
     def __init__(self) -> None:
         self._newest: OrderedDict[str, int] = OrderedDict()
 
     def accept(self, source: str, sequence: int) -> bool:
-        """Whether a message is newer than all before it from its source."""
+        """Record a message; return whether it is newer than all before it."""
         if sequence <= self._newest.get(source, -1):
             return False
         self._newest[source] = sequence
--- a/packages/core/src/bergamotwood_core/frontier.py
+++ b/packages/core/src/bergamotwood_core/frontier.py
@@ -1,4 +1,4 @@
-"""Cascade options of least cost for each quality, and their allocation."""
+"""Cascade options and the lower convex hull of their cost over quality."""
 
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
@@ -8,24 +8,25 @@
 from bergamotwood_core.estimate import Estimate
 from bergamotwood_core.ids import VersionId
 
-# Least scores with which a rated answer may be accepted.
+# Candidate thresholds for the score at which a rated answer is accepted.
 THRESHOLDS = (0.5, 0.6, 0.7, 0.8)
-# Expected quality below the target that no request is given, whatever the mean.
+# Options whose expected quality is further below the target are never used, even
+# if the mean over all requests would reach the target.
 MAX_SHORTFALL = 0.15
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One version to try.
+    """Execution of one version in a cascade.
 
     Parameters
     ----------
     version : VersionId
-        What runs.
+        Version to run.
     rate : bool
-        Whether its answer is rated before it is returned.
+        Whether the answer is rated before it is returned.
     threshold : float
-        Least score with which a rated answer is accepted.
+        Minimum score at which a rated answer is accepted.
     """
 
     version: VersionId
@@ -35,18 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionForecast:
-    """What one version is expected to do with one kind of request.
+    """Expected cost, latency and quality of one version on a class of requests.
 
     Parameters
     ----------
     version : VersionId
         The version.
     cost : float
-        Cost units of one answer.
+        Cost of one answer, in cost units.
     first_token_seconds, total_seconds : float
-        Time to the first token and to the end of the answer.
+        Expected time to the first token and to the end of the answer.
     direct, escalated : Estimate
-        Quality on all requests, and on those that another version failed.
+        Quality on all requests, and on those where the answer of another version
+        was rejected.
     """
 
     version: VersionId
@@ -59,18 +61,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OptionParameters:
-    """What the options of one workspace are weighed by.
+    """Parameters for the evaluation of the options of one workspace.
 
     Parameters
     ----------
     latency_weight : float
-        Cost units that one second to the first token is worth.
+        Cost units per second of latency.
     rating_seconds : float
-        Time that one rating takes.
+        Duration of one rating.
     selection_bias : float
-        How far accepted scores lie above true quality.
+        Mean excess of accepted scores over true quality.
     uncertainty_penalty : float
-        Standard errors that quality is lowered by; negative to be hopeful.
+        Standard errors subtracted from quality estimates; a negative value adds
+        them.
     """
 
     latency_weight: float
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """A sequence of steps and what it is expected to give for one request."""
+    """A cascade with its expected cost, quality and ratings per request."""
 
     steps: tuple[Step, ...]
     cost: float
@@ -91,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _EvaluatedVersion:
-    """Figures of one prospect as a first, a later and a last step."""
+    """Cost and quality of one version as the first, an inner or the last step."""
 
     version: VersionId
     last_cost: float
@@ -105,7 +108,7 @@
 def list_options(
     forecasts: Sequence[VersionForecast], parameters: OptionParameters
 ) -> list[Option]:
-    """Every single version and every short rated cascade, in the given order."""
+    """List single versions and rated cascades of two or three, in the given order."""
     evaluated = [_evaluate_version(forecast, parameters) for forecast in forecasts]
     options = [
         Option((Step(w.version),), w.last_cost, w.direct_quality) for w in evaluated
@@ -118,7 +121,7 @@
 
 
 def bound_quality(estimate: Estimate, uncertainty_penalty: float) -> float:
-    """Mean quality of an unrated answer, lowered by its uncertainty."""
+    """Compute mean quality minus a multiple of its standard error, within 0 to 1."""
     quality = estimate.mean - uncertainty_penalty * estimate.standard_error
     return min(max(quality, 0.0), 1.0)
 
@@ -191,25 +194,25 @@
 
 
 def filter_low_quality(options: Sequence[Option], target: float) -> list[Option]:
-    """Leave out options far below the target; keep the best one at least."""
+    """Drop options far below the target quality; keep at least the best one."""
     kept = [o for o in options if o.quality >= target - MAX_SHORTFALL]
     return kept or [max(options, key=lambda o: o.quality)]
 
 
 def compute_hull(options: Sequence[Option], rating_price: float = 0.0) -> list[Option]:
-    """Options on the lower convex hull of cost over quality, cheapest first.
+    """Compute the lower convex hull of cost over quality, cheapest option first.
 
     Parameters
     ----------
     options : sequence of Option
-        At least one.
+        Options, at least one.
     rating_price : float
-        Cost units that one rating counts as, when ratings are short.
+        Cost units added per rating, to limit the use of scarce ratings.
 
     Returns
     -------
     list of Option
-        Rising in cost and quality, with rising cost for each gain of quality.
+        Options with increasing cost, quality and marginal cost of quality.
     """
     if rating_price:
         options = [_add_rating_cost(option, rating_price) for option in options]
@@ -237,5 +240,5 @@
 
 
 def compute_slope(low: Option, high: Option) -> float:
-    """Cost of one unit of quality between two options."""
+    """Compute the marginal cost of quality between two options."""
     return (high.cost - low.cost) / (high.quality - low.quality)
--- a/packages/core/src/bergamotwood_core/outcome.py
+++ b/packages/core/src/bergamotwood_core/outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes of requests under a roll-out, counted by entry and added up."""
+"""Outcomes of requests under a roll-out, counted per entry and summed."""
 
 from bisect import bisect_left
 from collections import OrderedDict
@@ -11,26 +11,26 @@
 from bergamotwood_core.estimate import SCORE_BINS, find_bin, is_valid_score
 from bergamotwood_core.ids import RolloutId, TicketNumber, VersionId
 
-# Upper bounds of the first-token histogram, in seconds; one more bin is open.
+# Upper bounds of the first-token histogram in seconds; a last bin has no bound.
 LATENCY_BOUNDS = tuple(0.02 * 1.25**index for index in range(36))
 LATENCY_BINS = len(LATENCY_BOUNDS) + 1
-# Roll-outs that one entry counts, and entries that a leader keeps counts of.
+# Maximum roll-outs counted by one entry, and entries whose counts a leader keeps.
 MAX_ROLLOUTS = 64
 MAX_SOURCES = 1_024
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one request went.
+    """Outcome of one request.
 
     Parameters
     ----------
     version : VersionId
-        What it ran on.
+        Version that ran the request.
     failed : bool
-        Whether it ended in an error of the endpoint.
+        Whether it ended with an error of the endpoint.
     first_token_seconds : float or None
-        Time to the first token, if one came.
+        Time to the first token, None without one.
     """
 
     version: VersionId
@@ -39,16 +39,16 @@
 
 
 class ArmCounts(Struct, array_like=True):
-    """Outcomes of one version.
+    """Outcome counts of one version.
 
     Parameters
     ----------
     started, finished, failed : int
-        Requests dispatched, ended, and ended in an error.
+        Requests that were dispatched, that ended, and that ended with an error.
     latencies : list of int
-        First tokens by bin of `LATENCY_BOUNDS`.
+        Number of first tokens by bin of `LATENCY_BOUNDS`.
     scores : list of int
-        Ratings by bin.
+        Number of ratings by bin.
     """
 
     started: int = 0
@@ -66,13 +66,13 @@
             self.latencies[index] += 1
 
     def copy(self) -> "ArmCounts":
-        """Copy the counts, so that later ones do not change them."""
+        """Return an independent copy of the counts."""
         copied = ArmCounts()
         copied.add(self)
         return copied
 
     def add(self, other: "ArmCounts") -> None:
-        """Add another's counts to these."""
+        """Add the counts of another instance."""
         self.started += other.started
         self.finished += other.finished
         self.failed += other.failed
@@ -85,7 +85,7 @@
         ]
 
     def is_valid(self) -> bool:
-        """Whether the counts can be true."""
+        """Whether the counts are consistent."""
         numbers = (self.started, self.finished, self.failed)
         if min(*numbers, *self.latencies, *self.scores, 0) < 0:
             return False
@@ -95,21 +95,21 @@
 
 
 class RolloutReport(Struct, frozen=True, array_like=True):
-    """All that one entry has counted under one roll-out.
+    """Cumulative counts of one entry under one roll-out.
 
     Parameters
     ----------
     source : str
-        The entry and its incarnation.
+        Entry and its incarnation.
     sequence : int
-        Rises with each report of a source.
+        Increases with each report of a source.
     rollout : RolloutId
-        The roll-out.
+        Roll-out.
     ticket : TicketNumber
-        Ticket that set it.
+        Ticket that configured the roll-out.
     candidate, current : ArmCounts
-        Counts since the roll-out began there, so that a lost report is made good
-        by the next.
+        Counts since the entry began counting. They are cumulative, so that the next
+        report makes up for a lost one.
     """
 
     source: str
@@ -131,7 +131,7 @@
     current: ArmCounts = field(default_factory=ArmCounts)
 
     def find_arm(self, version: VersionId) -> ArmCounts | None:
-        """Find the counts of a version, if the roll-out is about it."""
+        """Return the counts of a version, None if the roll-out does not involve it."""
         if version == self.candidate_version:
             return self.candidate
         if version == self.current_version:
@@ -140,12 +140,12 @@
 
 
 class OutcomeCounter:
-    """Counts outcomes under the roll-outs of one entry.
+    """Counts the outcomes of one entry under its roll-outs.
 
     Parameters
     ----------
     source : str
-        This entry and its incarnation.
+        Entry and its incarnation.
     """
 
     def __init__(self, source: str) -> None:
@@ -160,7 +160,7 @@
         candidate: VersionId,
         current: VersionId,
     ) -> None:
-        """Count for a roll-out; another ticket starts from nothing."""
+        """Start counting for a roll-out; a new ticket resets its counts."""
         counts = self._counts.get(rollout)
         if counts is not None and counts.ticket == ticket:
             return
@@ -173,7 +173,7 @@
         self._counts.pop(rollout, None)
 
     def count_start(self, version: VersionId) -> None:
-        """Count a request as exposed, at its dispatch."""
+        """Count a dispatched request."""
         for arm in self._find_arms(version):
             arm.started += 1
 
@@ -191,11 +191,11 @@
             arm.scores[find_bin(score)] += 1
 
     def is_candidate(self, version: VersionId) -> bool:
-        """Whether a version is under trial, so that its answers are rated first."""
+        """Whether a version is a candidate, whose answers are rated with preference."""
         return any(c.candidate_version == version for c in self._counts.values())
 
     def list_reports(self) -> list[RolloutReport]:
-        """Report of each roll-out, for the leader of the control log."""
+        """List a report for each roll-out, for the leader of the control log."""
         self._sequence += 1
         return [
             RolloutReport(
@@ -228,7 +228,7 @@
         self._reports: OrderedDict[str, RolloutReport] = OrderedDict()
 
     def merge(self, report: RolloutReport) -> bool:
-        """Take a report in; one that is old, repeated or invalid is dropped."""
+        """Store a report; return False if it is old, repeated, foreign or invalid."""
         if report.ticket != self.ticket:
             return False
         if not (report.candidate.is_valid() and report.current.is_valid()):
@@ -242,11 +242,11 @@
         return True
 
     def sum_candidate(self) -> ArmCounts:
-        """Add up the candidate over all entries."""
+        """Sum the candidate's counts over all entries."""
         return _sum_arms(report.candidate for report in self._reports.values())
 
     def sum_current(self) -> ArmCounts:
-        """Add up the current version over all entries."""
+        """Sum the current version's counts over all entries."""
         return _sum_arms(report.current for report in self._reports.values())
 
 
--- a/packages/core/src/bergamotwood_core/placement.py
+++ b/packages/core/src/bergamotwood_core/placement.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint that runs an attempt."""
+"""Choice of the endpoint for an attempt, by load and cache affinity."""
 
 from collections.abc import Iterator
 from random import Random
@@ -15,22 +15,22 @@
 from bergamotwood_core.tables import DirectoryTables, Endpoint, Pool, PoolKey
 from bergamotwood_core.target import Target
 
-# Random draws that look for two endpoints fit for work before all are looked at.
+# Random draws for two eligible endpoints before the whole pool is examined.
 MAX_DRAWS = 8
-# Endpoints in rendezvous order that are tried for a prefix or session.
+# Endpoints in rendezvous hash order that are tried for a prefix or session.
 AFFINITY_CANDIDATES = 3
-# Pools up to this size are sorted whole.
+# Larger pools are partitioned instead of sorted in full.
 FULL_SORT_POOL_SIZE = 32
-# How much busier than the better of two the preferred endpoint may be, in shares
-# of its capacity.
+# How far the load of the affinity endpoint may exceed that of the better of two
+# random endpoints, as a fraction of capacity.
 AFFINITY_LOAD_MARGIN = 0.4
-# Prefix length from which a hit is worth the whole slack.
+# Prefix length from which a cache hit justifies the full load margin.
 LONG_PREFIX_TOKENS = 5_000
-# Prefix length where it is not known.
+# Prefix length assumed when it is unknown.
 DEFAULT_PREFIX_TOKENS = 2_500
-# Share of its capacity from which other data centres are looked at.
+# Load, as a fraction of capacity, from which other data centres are considered.
 SPILLOVER_LOAD = 0.5
-# How much less busy another data centre must be to be worth the way.
+# How much lower the load in another data centre must be to justify the latency.
 SPILLOVER_MARGIN = 0.15
 
 _HASH_MULTIPLIER = uint64(0x9E3779B97F4A7C15)
@@ -38,25 +38,25 @@
 
 
 class PlacementRequirements(Struct, frozen=True):
-    """What an attempt needs of an endpoint.
+    """Requirements of an attempt on its endpoint.
 
     Parameters
     ----------
     target : Target
-        Version or service.
+        Version or service to run.
     data_centre : DataCentre
-        Where the entry runs.
+        Data centre of the entry.
     nearby : tuple of DataCentre
-        Data centres so near that they are tried before all others, and that a
-        prefix held there is worth the way.
+        Data centres with low latency. They are tried before all others, and cache
+        affinity covers them as well.
     prefix_hash : int or None
         64-bit hash of the prompt's prefix.
     prefix_tokens : int or None
-        Length of that prefix; None when it is not known.
+        Length of that prefix; None if unknown.
     session : SessionId or None
         Session of the request.
     excluded : frozenset of EndpointId
-        Endpoints that the request may not use.
+        Endpoints that must not be chosen.
     """
 
     target: Target
@@ -76,20 +76,21 @@
 ) -> EndpointId | None:
     """Choose the endpoint for one attempt.
 
-    The nearest data centre comes first. There the endpoint that holds the prefix
-    or session is taken unless it is much busier than the better of two others.
-    Another data centre is taken when the near one is full and it is not.
+    Takes the better of two random endpoints in the nearest data centre. If its load
+    is high, another data centre is used when the load there is clearly lower. The
+    endpoint that holds the prefix or session is preferred over that choice unless
+    its load is much higher.
 
     Parameters
     ----------
     tables : DirectoryTables
-        Endpoints, with this daemon's own outstanding work.
+        Endpoints, with the outstanding requests of this daemon.
     requirements : PlacementRequirements
-        What the attempt needs.
+        Requirements of the attempt.
     now : Seconds
-        Time of the choice.
+        Current time.
     rng : Random
-        Source of the draws.
+        Random number generator.
 
     Returns
     -------
@@ -107,15 +108,15 @@
 
 
 def estimate_load(endpoint: Endpoint) -> float:
-    """Estimate the load of an endpoint if it took one more request.
+    """Estimate the load of an endpoint with one more request.
 
-    The endpoint's own report lags; what this daemon sent and finished since
-    corrects it.
+    The endpoint's load report is delayed, so it is corrected by the requests that
+    this daemon has sent and finished since then.
 
     Returns
     -------
     float
-        Share of its capacity.
+        Load as a fraction of capacity.
     """
     announcement = endpoint.announcement
     since = endpoint.outstanding - endpoint.outstanding_at_report
@@ -126,7 +127,7 @@
 def _list_pools(
     tables: DirectoryTables, requirements: PlacementRequirements
 ) -> Iterator[Pool]:
-    """List the pools that hold the target, the nearest first."""
+    """Yield the pools of endpoints that run the target, nearest first."""
     name = requirements.target.name
     near = (requirements.data_centre,)
     yield find_pool(tables, PoolKey(name, near))
@@ -139,7 +140,7 @@
 
 
 def _should_spill_over(candidate: Endpoint, best: Endpoint) -> bool:
-    """Whether a farther endpoint is enough less busy than a nearer one."""
+    """Whether a more distant endpoint has a clearly lower load."""
     return estimate_load(candidate) + SPILLOVER_MARGIN < estimate_load(best)
 
 
@@ -149,7 +150,7 @@
     now: Seconds,
     rng: Random,
 ) -> Endpoint | None:
-    """Choose the better of two in the nearest pool that is not full."""
+    """Choose the better of two in the nearest pool with load below the threshold."""
     best: Endpoint | None = None
     for pool in _list_pools(tables, requirements):
         candidate = _choose_of_two(tables, pool, requirements, now, rng)
@@ -169,9 +170,10 @@
     key: int,
     best: Endpoint,
 ) -> Endpoint | None:
-    """Find the endpoint that holds the prefix or session, unless it is too busy.
+    """Find the endpoint that holds the prefix or session, unless its load is too high.
 
-    All near data centres count alike: a prefix saves more time than the way costs.
+    All nearby data centres rank equally, since a cache hit saves more time than the
+    network latency costs.
     """
     near = (requirements.data_centre, *requirements.nearby)
     pool = find_pool(tables, PoolKey(requirements.target.name, near))
@@ -189,7 +191,7 @@
 
 
 def _compute_affinity_margin(requirements: PlacementRequirements) -> float:
-    """Say how much busier the preferred endpoint may be: by what a hit saves."""
+    """Compute the allowed extra load, in proportion to what a cache hit saves."""
     tokens = requirements.prefix_tokens
     if tokens is None:
         tokens = DEFAULT_PREFIX_TOKENS
@@ -203,7 +205,7 @@
     now: Seconds,
     rng: Random,
 ) -> Endpoint | None:
-    """Choose the better of two endpoints drawn at random."""
+    """Choose the better of two random eligible endpoints."""
     size = len(pool.endpoints)
     drawn: list[Endpoint] = []
     for _ in range(MAX_DRAWS if size else 0):
@@ -225,7 +227,7 @@
 def _choose_ejected(
     tables: DirectoryTables, requirements: PlacementRequirements, rng: Random
 ) -> EndpointId | None:
-    """Choose among ejected endpoints, when there are no others."""
+    """Choose any endpoint that is not excluded, when none is eligible."""
     for pool in _list_pools(tables, requirements):
         allowed = [id_ for id_ in pool.endpoints if id_ not in requirements.excluded]
         if allowed:
@@ -236,7 +238,7 @@
 def _is_eligible(
     endpoint: Endpoint, requirements: PlacementRequirements, now: Seconds
 ) -> bool:
-    """Whether an endpoint may get the attempt."""
+    """Whether an endpoint may receive the attempt."""
     announcement = endpoint.announcement
     if requirements.excluded and announcement.id in requirements.excluded:
         return False
@@ -248,12 +250,12 @@
 
 
 def _score(endpoint: Endpoint) -> float:
-    """Score an endpoint by its load and its speed; lower is better."""
+    """Score an endpoint by load and first-token latency; lower is better."""
     return estimate_load(endpoint) * max(endpoint.first_token_seconds, 0.001)
 
 
 def _compute_affinity_key(requirements: PlacementRequirements) -> int | None:
-    """Read the hash that keeps like requests together."""
+    """Return the affinity hash of the prefix or session, None without either."""
     if requirements.prefix_hash is not None:
         return requirements.prefix_hash & _HASH_MASK
     if requirements.session is not None:
@@ -267,14 +269,14 @@
     Parameters
     ----------
     pool : Pool
-        The endpoints.
+        Endpoints to rank.
     key : int
-        64-bit hash of what they are ranked for; every entry ranks alike.
+        64-bit hash of the prefix or session; every entry computes the same order.
 
     Returns
     -------
     list of int
-        Positions in the pool, the preferred first.
+        Positions of the first candidates in the pool, best first.
     """
     mixed = (pool.hashes ^ uint64(key)) * _HASH_MULTIPLIER
     if len(mixed) <= FULL_SORT_POOL_SIZE:
--- a/packages/core/src/bergamotwood_core/retry.py
+++ b/packages/core/src/bergamotwood_core/retry.py
@@ -1,10 +1,10 @@
-"""Budgets and delays of retries and hedged requests."""
+"""Budgets and delays for retries and hedged requests."""
 
 from bisect import bisect_left, insort
 from collections import deque
 from random import Random
 
-# Retries and hedges allowed for each offered request.
+# Retries and hedges allowed per offered request.
 RETRY_RATIO = 0.1
 MAX_RETRY_TOKENS = 100.0
 BACKOFF_BASE_SECONDS = 0.1
@@ -15,14 +15,14 @@
 
 
 class RetryBudget:
-    """Token bucket that earns a share of an attempt for each offered request.
+    """Token bucket that gains a fraction of a retry for each offered request.
 
     Parameters
     ----------
     ratio : float
-        Extra attempts for each offered request.
+        Extra attempts gained per offered request.
     max_tokens : float
-        Extra attempts that a quiet time may save up.
+        Capacity of the bucket, in extra attempts.
     """
 
     def __init__(
@@ -33,11 +33,11 @@
         self.tokens = 0.0
 
     def record_offered(self) -> None:
-        """Earn for one offered request."""
+        """Add the fraction gained by one offered request."""
         self.tokens = min(self.max_tokens, self.tokens + self.ratio)
 
     def try_spend(self) -> bool:
-        """Take one extra attempt; False when the budget does not allow it."""
+        """Take one extra attempt; return False if the budget is exhausted."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -45,19 +45,19 @@
 
 
 class HedgeBudget:
-    """When to send a short idempotent call a second time.
+    """Budget and delay for hedging short idempotent calls.
 
-    Hedges draw on the retry budget, and only while it is more than half full,
-    so that they never take the tokens that an outage needs.
+    Hedges use the retry budget only while it is at least half full, so that they
+    never consume the tokens that retries need in an outage.
 
     Parameters
     ----------
     retries : RetryBudget
-        Budget that hedges and retries share.
+        Budget shared by hedges and retries.
     quantile : float
-        Share of calls that answer before a hedge is sent.
+        Latency quantile after which a hedge is sent.
     window : int
-        Recent latencies kept.
+        Number of recent latencies kept.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._ordered: list[float] = []
 
     def record_latency(self, seconds: float) -> None:
-        """Remember how long a call took, in seconds."""
+        """Record the latency of a call, in seconds."""
         if len(self._recent) == self.window:
             oldest = self._recent.popleft()
             del self._ordered[bisect_left(self._ordered, oldest)]
@@ -82,13 +82,13 @@
 
     @property
     def delay_seconds(self) -> float | None:
-        """How long to wait before a hedge; None while too little is known."""
+        """Delay before a hedge is sent; None with fewer samples than the minimum."""
         if len(self._ordered) < HEDGE_MIN_SAMPLES:
             return None
         return self._ordered[int(self.quantile * (len(self._ordered) - 1))]
 
     def try_spend(self) -> bool:
-        """Take one hedge; False when the budget does not allow it."""
+        """Take one hedge; return False if the budget does not allow it."""
         if self.retries.tokens < self.retries.max_tokens / 2:
             return False
         return self.retries.try_spend()
@@ -100,9 +100,9 @@
     Parameters
     ----------
     attempt : int
-        Retries made before, from 0.
+        Number of earlier retries.
     rng : Random
-        Source of the jitter.
+        Random number generator for the jitter.
     """
     ceiling = min(BACKOFF_CAP_SECONDS, BACKOFF_BASE_SECONDS * 2.0 ** min(attempt, 30))
     return rng.uniform(ceiling / 2, ceiling)
--- a/packages/core/src/bergamotwood_core/rollout.py
+++ b/packages/core/src/bergamotwood_core/rollout.py
@@ -1,4 +1,4 @@
-"""Roll-outs: share of new sessions, sequential tests and verdicts."""
+"""Roll-outs: share of new sessions for a candidate, and verdicts on its outcomes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
@@ -22,42 +22,43 @@
     RolloutProgress,
 )
 
-# Loss above the current version's that the first stage has to rule out, and the
-# factor on it for each later stage.
+# Excess loss over the current version that the first stage must rule out, and the
+# factor by which it shrinks with each later stage.
 FIRST_STAGE_MARGIN = 0.1
 MARGIN_FACTOR = 0.7
-# Chance of passing a stage with a candidate that is worse by the margin.
+# Probability that a candidate which is worse by the margin passes a stage.
 FALSE_PASS_RATE = 0.05
-# Time that a stage lasts at least, so that delayed reports arrive.
+# Minimum duration of a stage, so that delayed reports arrive.
 MIN_STAGE_SECONDS = 60.0
-# Time that the last stage lasts at least, to notice a version that turns bad.
+# Minimum duration of the last stage, to detect a version that degrades later.
 MIN_FINAL_SECONDS = 300.0
-# Requests between two starting points of the tests, and how many are kept.
+# Requests between two starting points of the harm tests, and how many are kept.
 TEST_START_SPACING = 25
 MAX_TEST_STARTS = 16
 # Weight of the test that runs from the beginning.
 FIRST_TEST_START_WEIGHT = 0.5
-# Share of the endpoints that a stage's share of traffic needs.
+# Fraction of the endpoints needed for a stage's share of traffic that must have
+# loaded the candidate.
 MIN_READY_SHARE = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """The roll-out stays where it is."""
+    """The roll-out stays at its stage."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Advance:
-    """The roll-out goes to a stage."""
+    """The roll-out moves to a stage."""
 
     stage: int
 
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """The candidate has the full share for good."""
+    """The candidate gets all new sessions from now on."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgressChange:
-    """Progress that the leader commits to the log."""
+    """Progress of a roll-out, to be committed to the log by the leader."""
 
     rollout: RolloutId
     progress: RolloutProgress
@@ -80,18 +81,19 @@
 
 @dataclass(slots=True)
 class RolloutMonitor:
-    """What the leader holds about one roll-out; lost with its leadership.
+    """State that the leader keeps about one roll-out, lost when it stops leading.
 
     Parameters
     ----------
     evidence : RolloutEvidence
-        Counts from the entries.
+        Outcome counts from the entries.
     stage, stage_seen_at : int, Seconds
-        The stage, and when this leader first saw it.
+        Current stage, and when this leader first saw it.
     test_starts : list of tuple
-        Order and candidate's counts of earlier times, from which the tests run too.
+        Number and candidate's counts of earlier moments. The harm tests also run
+        from these, so that a candidate that degrades later is detected.
     test_start_count : int
-        Starting points taken so far.
+        Number of starting points so far.
     """
 
     evidence: RolloutEvidence
@@ -108,18 +110,18 @@
     draw: float,
     ready: bool = True,
 ) -> VersionId:
-    """Version for a new session.
+    """Choose the version for a new session.
 
     Parameters
     ----------
     model : Model
-        The model asked for.
+        Requested model.
     rollout, progress : Rollout, RolloutProgress or None
-        The model's roll-out, if there is one.
+        Roll-out of the model, if there is one.
     draw : float
-        Uniform random number, 0 to 1.
+        Uniform random number from 0 to 1.
     ready : bool
-        Whether an endpoint has the candidate loaded.
+        Whether an endpoint has loaded the candidate.
 
     Returns
     -------
@@ -147,24 +149,24 @@
     now: Seconds,
     ratings_expected: bool = True,
 ) -> Verdict:
-    """Judge the evidence about a running roll-out.
+    """Evaluate the evidence about a running roll-out.
 
     Parameters
     ----------
     rollout, progress : Rollout, RolloutProgress
-        The roll-out and its replicated progress.
+        Roll-out and its replicated progress.
     monitor : RolloutMonitor
         Evidence and starting points; a starting point may be added.
     now : Seconds
-        The time.
+        Current time.
     ratings_expected : bool
-        Whether stages wait for ratings.
+        Whether stages wait for quality ratings.
 
     Returns
     -------
     Verdict
-        Stop as soon as a test shows that the candidate is worse; advance when
-        the tests rule out that it is worse by the stage's margin.
+        `Stop` as soon as a test shows that the candidate is worse; `Advance` or
+        `Complete` when the tests rule out that it is worse by the stage's margin.
     """
     if monitor.stage != progress.stage:
         monitor.stage = progress.stage
@@ -199,25 +201,25 @@
     now: Seconds,
     ratings_expected: bool = True,
 ) -> list[ProgressChange]:
-    """Judge every running roll-out; run each tick by the control leader.
+    """Evaluate all running roll-outs; called by the control leader every tick.
 
     Parameters
     ----------
     configuration : ConfigurationTables
         Roll-outs and their progress.
     directory : DirectoryTables
-        Endpoints, to know how many have a version loaded.
+        Endpoints, to count how many have loaded a version.
     monitors : dict
-        The leader's evidence; entries are added and dropped here.
+        Monitors of the leader; updated to match the configured roll-outs.
     now : Seconds
-        The time.
+        Current time.
     ratings_expected : bool
-        Whether stages wait for ratings.
+        Whether stages wait for quality ratings.
 
     Returns
     -------
     list of ProgressChange
-        What is to be committed to the log.
+        Changes to commit to the log.
     """
     for rollout_id in monitors.keys() - configuration.rollouts.keys():
         del monitors[rollout_id]
@@ -239,7 +241,7 @@
 def merge_reports(
     monitors: dict[RolloutId, RolloutMonitor], reports: Sequence[RolloutReport]
 ) -> None:
-    """Take the entries' reports into the leader's evidence."""
+    """Merge the reports of the entries into the evidence of the leader."""
     for report in reports:
         monitor = monitors.get(report.rollout)
         if monitor is not None:
--- a/packages/core/src/bergamotwood_core/segment.py
+++ b/packages/core/src/bergamotwood_core/segment.py
@@ -1,4 +1,4 @@
-"""Requests of one workspace that are planned alike."""
+"""Segments: requests of one workspace that share a cascade allocation."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -10,11 +10,11 @@
 from bergamotwood_core.ids import RequestClass, VersionId
 from bergamotwood_core.usage import Candidate
 
-# Requests that the moving averages of a segment remember.
+# Window of the moving averages of a segment, in requests.
 SEGMENT_WINDOW_REQUESTS = 200.0
 MAX_SEGMENTS = 64
-# Answers over which a shortfall of quality is averaged, how strongly it is made
-# good, and the bounds of that.
+# Window of the average quality shortfall in answers, gain of the correction that
+# compensates it, and the bounds of that correction.
 SHORTFALL_WINDOW_ANSWERS = 150.0
 CORRECTION_GAIN = 1.5
 MIN_CORRECTION = -0.02
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentKey:
-    """Requests that are planned alike: a class and its candidates."""
+    """Key of a segment: request class and candidate versions."""
 
     request_class: RequestClass
     versions: tuple[VersionId, ...]
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplorationCandidate:
-    """Cost of a version and the quality that it may have at best."""
+    """Cost of a version and the upper bound of its quality."""
 
     version: VersionId
     cost: float
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Segment:
-    """State of the requests that are planned alike."""
+    """Allocation and moving averages of one segment."""
 
     candidates: Sequence[Candidate]
     weight: float = 0.0
@@ -53,7 +53,11 @@
     unrated_credit: float = 0.0
 
     def find_exploration_candidate(self) -> tuple[ExplorationCandidate | None, float]:
-        """Find the version that may save the most, and the share of cost it saves."""
+        """Find the version with the largest possible saving, and that saving.
+
+        The saving is a fraction of the cost; the version is None if none can save
+        anything.
+        """
         best, most = None, 0.0
         for candidate in self.exploration_candidates:
             saving = self._estimate_saving(candidate)
@@ -73,7 +77,7 @@
         return 1.0 - candidate.cost / replaced if replaced else 0.0
 
     def choose_rated_option(self) -> Option:
-        """Choose an option of the mix, each as often as its share says."""
+        """Choose an option of the mix; each is chosen in proportion to its share."""
         mix = self.mix
         if mix is None:
             raise ValueError("segment without an allocation")
@@ -84,7 +88,7 @@
         return mix.high
 
     def choose_unrated_option(self) -> Option:
-        """Choose an option of the mix that needs no ratings."""
+        """Choose an option of the unrated mix, likewise in proportion to the shares."""
         mix = self.unrated_mix
         if mix is None:
             raise ValueError("segment without an allocation")
@@ -97,7 +101,7 @@
 
 @dataclass(slots=True)
 class WorkspaceState:
-    """Segments of one workspace and the age of their allocation."""
+    """Segments of one workspace, time of their allocation and quality shortfall."""
 
     segments: OrderedDict[SegmentKey, Segment] = field(default_factory=OrderedDict)
     planned_at: Seconds = Seconds(float("-inf"))
@@ -106,7 +110,7 @@
     def find_segment(
         self, request_class: RequestClass, candidates: Sequence[Candidate]
     ) -> Segment:
-        """Find the segment of a request; the one unused for longest may make room."""
+        """Return the segment of a request, evicting the least recently used if full."""
         key = SegmentKey(request_class, tuple(c.version for c in candidates))
         segment = self.segments.get(key)
         if segment is None:
@@ -118,7 +122,7 @@
         return segment
 
     def count_request(self, segment: Segment, prompt_tokens: int) -> None:
-        """Learn the share of a segment and the size of its prompts."""
+        """Update the weight of a segment and its mean prompt length."""
         for other in self.segments.values():
             other.weight *= 1.0 - 1.0 / SEGMENT_WINDOW_REQUESTS
         segment.weight += 1.0
@@ -127,16 +131,16 @@
         segment.prompt_tokens += weight * (prompt_tokens - segment.prompt_tokens)
 
     def record_quality(self, quality: float, target: float) -> None:
-        """Average how far the returned answers fall short of what is aimed at."""
+        """Update the mean shortfall of returned answers from the target quality."""
         self.shortfall += (target - quality - self.shortfall) / SHORTFALL_WINDOW_ANSWERS
 
     @property
     def correction(self) -> float:
-        """Quality to aim at above the target, to make a shortfall good."""
+        """Correction of the target quality that compensates the shortfall."""
         wanted = CORRECTION_GAIN * self.shortfall
         return min(max(wanted, MIN_CORRECTION), MAX_CORRECTION)
 
     def list_weights(self) -> list[float]:
-        """Share of each segment among the requests."""
+        """Return the share of requests of each segment."""
         total = sum(segment.weight for segment in self.segments.values())
         return [segment.weight / total for segment in self.segments.values()]
--- a/packages/core/src/bergamotwood_core/sequential.py
+++ b/packages/core/src/bergamotwood_core/sequential.py
@@ -1,29 +1,29 @@
-"""Sequential tests on bounded losses that may be looked at at any time.
+"""Sequential tests on the mean of bounded losses, valid at any stopping time.
 
-Each test bets on a loss between 0 and 1 having a mean other than a baseline. The
-capital of the bets is a nonnegative supermartingale while the mean does not lie on
-the tested side, so that it passes `1 / rate` at any time with a chance of at most
-`rate` (Ville's inequality).
+The tests use betting: they bet that the mean of a loss between 0 and 1 lies on one
+side of a baseline. While it does not, the capital of the bets is a nonnegative
+supermartingale, which ever exceeds `1 / rate` with a probability of at most `rate`
+(Ville's inequality).
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from math import exp, inf, log
 
-# Stakes as shares of the largest one that keeps the capital positive.
+# Stakes, as fractions of the largest stake that keeps the capital positive.
 STAKES = (0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 0.95)
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Observations with the same loss.
+    """A number of observations with the same loss.
 
     Parameters
     ----------
     value : float
-        The loss, 0 to 1.
+        Loss, from 0 to 1.
     count : int
-        How many.
+        Number of observations.
     """
 
     value: float
@@ -31,19 +31,19 @@
 
 
 def bet_above(losses: Sequence[Loss], baseline: float) -> float:
-    """Capital against the claim that the mean loss is at most a baseline.
+    """Compute the capital against the claim that the mean loss is at most a baseline.
 
     Parameters
     ----------
     losses : sequence of Loss
-        What was observed.
+        Observed losses.
     baseline : float
-        Claimed bound of the mean loss.
+        Claimed upper bound of the mean loss.
 
     Returns
     -------
     float
-        1 or less on average while the claim is true.
+        Capital, with an expected value of at most 1 while the claim is true.
     """
     if baseline <= 0.0 or baseline >= 1.0:
         return 1.0
@@ -51,7 +51,7 @@
 
 
 def bet_below(losses: Sequence[Loss], baseline: float) -> float:
-    """Capital against the claim that the mean loss is at least a baseline."""
+    """Compute the capital against the claim that the mean is at least a baseline."""
     if baseline <= 0.0 or baseline >= 1.0:
         return 1.0
     return _average_capital(losses, baseline, -1.0 / (1.0 - baseline))
--- a/packages/core/src/bergamotwood_core/usage.py
+++ b/packages/core/src/bergamotwood_core/usage.py
@@ -1,28 +1,28 @@
-"""Size, speed and price of answers, learned from those that were given."""
+"""Length, speed and cost of answers, estimated from earlier answers."""
 
 from dataclasses import dataclass
 
 from bergamotwood_core.ids import VersionId
 
-# Output tokens assumed for a version that has answered nothing yet.
+# Averages assumed for a version without answers.
 DEFAULT_OUTPUT_TOKENS = 300.0
 DEFAULT_TOKEN_SECONDS = 0.03
-# Answers that the moving averages of usage remember.
+# Window of the moving averages, in answers.
 USAGE_WINDOW_ANSWERS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A version that may answer.
+    """A version that may answer a request.
 
     Parameters
     ----------
     version : VersionId
-        The version.
+        Version.
     input_price, output_price : float
         Cost units per 1,000 prompt and generated tokens.
     first_token_seconds : float
-        Expected time to the first token, as placement sees it now.
+        Expected time to the first token, given the current load of its endpoints.
     """
 
     version: VersionId
@@ -31,14 +31,14 @@
     first_token_seconds: float
 
     def compute_cost(self, prompt_tokens: float, output_tokens: float) -> float:
-        """Cost units of one answer."""
+        """Compute the cost of one answer, in cost units."""
         cost = self.input_price * prompt_tokens + self.output_price * output_tokens
         return cost / 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What one answer took."""
+    """Tokens and latencies of one answer."""
 
     prompt_tokens: int
     output_tokens: int
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class UsageAverage:
-    """Moving averages of the answers of one version to one class."""
+    """Moving averages over the answers of one version to one request class."""
 
     output_tokens: float = DEFAULT_OUTPUT_TOKENS
     decode_seconds: float = DEFAULT_OUTPUT_TOKENS * DEFAULT_TOKEN_SECONDS
     count: int = 0
 
     def add(self, usage: Usage) -> None:
-        """Take one answer in."""
+        """Add one answer."""
         self.count += 1
         weight = 1.0 / min(self.count, USAGE_WINDOW_ANSWERS)
         decode = max(usage.total_seconds - usage.first_token_seconds, 0.0)
