--- a/packages/core/src/bergamotwood_core/address.py
+++ b/packages/core/src/bergamotwood_core/address.py
@@ -1,4 +1,4 @@
-"""Choice of the entry addresses that a caller gets."""
+"""Choice of the entry addresses returned to a caller."""
 
 from random import Random
 
@@ -8,7 +8,7 @@
 from bergamotwood_core.states import EntryState
 from bergamotwood_core.tables import DirectoryTables, Entry
 
-# Seconds without a word after which an entry is taken out.
+# Time without a new report after which an entry is removed.
 ENTRY_EXPIRY_SECONDS = 5.0
 
 
@@ -20,31 +20,32 @@
     rng: Random,
     limit: int,
 ) -> tuple[EntryReport, ...]:
-    """Choose the entries that a caller should use, best first.
+    """Choose the entries for a caller, best first.
 
-    Entries with a fresh enough configuration come first, then those near the
-    caller. Within a group the order is random, with weights that fall with the
-    requests in flight, so that callers who ask together are spread.
+    Entries are ordered by whether their configuration is fresh, then by whether
+    they are near the caller. Within a group the order is random, with lower weights
+    for entries with more requests in flight, so that simultaneous callers spread
+    over the entries.
 
     Parameters
     ----------
     tables : DirectoryTables
-        Who is there.
+        Known entries.
     near : DataCentre or None
         Data centre of the caller, if known.
     minimum_index : LogIndex
-        Configuration index that counts as fresh.
+        Lowest log index of a configuration that counts as fresh.
     now : Seconds
-        The time.
+        Current time.
     rng : Random
-        Seeded generator.
+        Seeded random number generator.
     limit : int
-        Addresses at most.
+        Maximum number of entries.
 
     Returns
     -------
     tuple of EntryReport
-        Never a draining entry, nor one that was not heard in time.
+        Reports of entries that are not draining and have reported recently.
     """
     ranked = [
         (_rank_entry(entry.report, near, minimum_index, rng), entry.report)
@@ -66,6 +67,7 @@
 ) -> tuple[bool, bool, float]:
     is_stale = report.applied < minimum_index
     is_far = near is not None and report.data_centre != near
-    # The least of exponential draws falls on each entry by its weight.
+    # With exponential draws, each entry comes first with a probability in
+    # proportion to its weight.
     weight = 1.0 / (1.0 + max(report.in_flight, 0))
     return is_stale, is_far, rng.expovariate(weight)
--- a/packages/core/src/bergamotwood_core/announcement.py
+++ b/packages/core/src/bergamotwood_core/announcement.py
@@ -1,4 +1,4 @@
-"""Reading of announcements that arrive from endpoints."""
+"""Decoding and validation of announcements from endpoints."""
 
 from collections.abc import Iterator
 from ipaddress import ip_address
@@ -18,7 +18,7 @@
 MAX_SUSPECTS = 1_024
 MAX_CAPACITY = 100_000
 MAX_PORT = 65_535
-# Incarnations, sequences and prefix hashes are below these.
+# Exclusive upper bounds of incarnations and sequences, and of prefix hashes.
 COUNTER_LIMIT = 2**63
 HASH_LIMIT = 2**64
 
@@ -27,32 +27,33 @@
 
 
 def decode_announcement(body: bytes) -> Announcement:
-    """Read an announcement.
+    """Decode and validate an announcement.
 
     Parameters
     ----------
     body : bytes
-        JSON.
+        JSON document.
 
     Returns
     -------
     Announcement
-        Valid in itself.
+        Validated without regard to the directory.
 
     Raises
     ------
     RequestError
-        With `ANNOUNCEMENT_INVALID` and the places of the faults.
+        If the announcement is invalid, with `ANNOUNCEMENT_INVALID` and the invalid
+        fields.
     """
     if len(body) > MAX_ANNOUNCEMENT_BYTES:
-        limit = f"at most {MAX_ANNOUNCEMENT_BYTES} bytes"
+        limit = f"{len(body)} bytes, at most {MAX_ANNOUNCEMENT_BYTES}"
         raise RequestError(f"announcement: {limit}", Code.ANNOUNCEMENT_INVALID)
     try:
         announcement = _ANNOUNCEMENTS.decode(body)
     except (ValidationError, DecodeError, UnicodeDecodeError) as error:
         raise RequestError(f"announcement: {error}", Code.ANNOUNCEMENT_INVALID)
     except RecursionError:
-        raise RequestError("announcement: nested", Code.ANNOUNCEMENT_INVALID)
+        raise RequestError("announcement: nested too deeply", Code.ANNOUNCEMENT_INVALID)
     faults = list(_find_faults(announcement))
     if faults:
         raise RequestError("; ".join(faults), Code.ANNOUNCEMENT_INVALID)
@@ -84,7 +85,7 @@
     try:
         ip_address(address.host)
     except ValueError:
-        yield "address.host: must be an IP number"
+        yield "address.host: must be an IP address"
     if not 1 <= address.port <= MAX_PORT:
         yield f"address.port: must be from 1 to {MAX_PORT}"
 
--- a/packages/core/src/bergamotwood_core/directory.py
+++ b/packages/core/src/bergamotwood_core/directory.py
@@ -1,4 +1,4 @@
-"""Directory of endpoints and entries: who is there now."""
+"""Directory of the endpoints and entries that are currently available."""
 
 from collections.abc import Hashable
 from typing import TypeVar
@@ -23,11 +23,12 @@
     "merge_report",
 ]
 
-# Seconds without a word after which an endpoint is taken out.
+# Time without a new announcement after which an endpoint is removed.
 ENDPOINT_EXPIRY_SECONDS = 5.0
-# Seconds for which the last word of a departed one is remembered.
+# How long the last incarnation and sequence of a removed instance are kept, to
+# reject late messages.
 DEPARTURE_RETENTION_SECONDS = 600.0
-# Entities that a table holds at most.
+# Maximum sizes of the tables.
 MAX_ENDPOINTS = 8_192
 MAX_ENTRIES = 2_048
 MAX_DEPARTURES = 16_384
@@ -38,26 +39,27 @@
 def merge_announcement(
     tables: DirectoryTables, announcement: Announcement, now: Seconds
 ) -> bool:
-    """Take in what an endpoint says of itself.
+    """Merge an announcement into the directory.
 
-    The newest (incarnation, sequence) wins, whichever way it came. Leaving is
-    final for an incarnation, also when it arrives late. A new incarnation
-    starts with nothing of the old one: a new `Endpoint` replaces it, so that
-    requests still counted on the old one cannot disturb it.
+    The newest (incarnation, sequence) wins, whatever the path of the message.
+    Leaving is final for an incarnation, even if it arrives late. A new incarnation
+    starts with a new `Endpoint`, so that requests still counted on the old one do
+    not affect its counters.
 
     Parameters
     ----------
     tables : DirectoryTables
         Changed in place.
     announcement : Announcement
-        A checked announcement.
+        Validated announcement.
     now : Seconds
-        When the endpoint said it; for a forwarded one, its age is taken off.
+        When the endpoint sent it; for a forwarded one, the time of arrival minus
+        its age.
 
     Returns
     -------
     bool
-        Whether it was news.
+        Whether the directory changed.
     """
     endpoint = tables.endpoints.get(announcement.id)
     if endpoint is None:
@@ -81,21 +83,21 @@
 
 
 def merge_load(tables: DirectoryTables, load: LoadReport, now: Seconds) -> bool:
-    """Take in an endpoint's newest load, where the rest of its word is known.
+    """Merge the load of an endpoint whose incarnation is already known.
 
     Parameters
     ----------
     tables : DirectoryTables
         Changed in place.
     load : LoadReport
-        The load.
+        Load report.
     now : Seconds
-        When it came.
+        When it arrived.
 
     Returns
     -------
     bool
-        Whether it was news.
+        Whether the directory changed.
     """
     endpoint = tables.endpoints.get(load.id)
     if endpoint is None or endpoint.announcement.incarnation != load.incarnation:
@@ -106,21 +108,21 @@
 
 
 def merge_report(tables: DirectoryTables, report: EntryReport, now: Seconds) -> bool:
-    """Take in what an entry says of itself, by the rules of announcements.
+    """Merge an entry's report, by the same rules as announcements.
 
     Parameters
     ----------
     tables : DirectoryTables
         Changed in place.
     report : EntryReport
-        The report.
+        Report.
     now : Seconds
-        When the entry said it.
+        When the entry sent it.
 
     Returns
     -------
     bool
-        Whether it was news.
+        Whether the directory changed.
     """
     entry = tables.entries.get(report.id)
     if entry is None:
@@ -145,21 +147,21 @@
     now: Seconds,
     expiry_seconds: float = ENDPOINT_EXPIRY_SECONDS,
 ) -> tuple[EndpointId, ...]:
-    """Take out the endpoints that were not heard for some time.
+    """Remove the endpoints without a recent announcement.
 
     Parameters
     ----------
     tables : DirectoryTables
         Changed in place.
     now : Seconds
-        The time.
+        Current time.
     expiry_seconds : float
-        Seconds without a word.
+        Time without a new announcement.
 
     Returns
     -------
     tuple of EndpointId
-        What was taken out.
+        Removed endpoints.
     """
     expired = [
         endpoint
@@ -181,21 +183,21 @@
 def expire_entries(
     tables: DirectoryTables, now: Seconds, expiry_seconds: float = ENTRY_EXPIRY_SECONDS
 ) -> tuple[InstanceId, ...]:
-    """Take out the entries that were not heard for some time.
+    """Remove the entries without a recent report.
 
     Parameters
     ----------
     tables : DirectoryTables
         Changed in place.
     now : Seconds
-        The time.
+        Current time.
     expiry_seconds : float
-        Seconds without a word.
+        Time without a new report.
 
     Returns
     -------
     tuple of InstanceId
-        What was taken out.
+        Removed entries.
     """
     expired = [
         entry.report
--- a/packages/core/src/bergamotwood_core/dispatch.py
+++ b/packages/core/src/bergamotwood_core/dispatch.py
@@ -1,4 +1,4 @@
-"""The last check before an attempt is sent to an endpoint."""
+"""Final check before an attempt is sent to an endpoint."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.errors import AuthorizationError, Code, RefusedError
@@ -25,41 +25,43 @@
     max_config_age: Seconds,
     fingerprint: Fingerprint,
 ) -> Unsuspected | Isolated:
-    """Check everything that may have changed since a request was admitted.
+    """Check all conditions that may have changed since a request was admitted.
 
-    Every attempt is new work: a cascade step, a retry, a hedge and a resumed
-    stream each need their own check.
+    Every attempt is checked separately, whether it is a cascade step, a retry, a
+    hedge or a resumed stream.
 
     Parameters
     ----------
     tables : Tables
-        Configuration and directory as they are now.
+        Current configuration and directory.
     workspace : WorkspaceId
-        Whose request.
+        Workspace of the request.
     target : Target
-        Version or service that the attempt runs.
+        Version or service to run.
     endpoint : EndpointId
-        Where it would be sent.
+        Chosen endpoint.
     config_age, max_config_age : Seconds
-        Age of the configuration in force here, and its bound.
+        Age of the configuration of this daemon, and its limit.
     fingerprint : Fingerprint
-        The request's.
+        Fingerprint of the request.
 
     Returns
     -------
     Unsuspected or Isolated
-        How the attempt may run.
+        Clearance of the attempt.
 
     Raises
     ------
     AuthorizationError
-        When the workspace may not use the target.
+        If the workspace may not use the target.
     RefusedError
-        When the configuration is stale, the version withdrawn, the endpoint gone,
-        leaving or without the target, or the request quarantined.
+        If the configuration is stale, the version is withdrawn, the endpoint has
+        left, is leaving or has not loaded the target, or the request is quarantined.
     """
     if config_age > max_config_age:
-        detail = f"configuration is {config_age:.1f} s old"
+        detail = (
+            f"configuration is {config_age:.1f} s old, limit {max_config_age:.1f} s"
+        )
         raise RefusedError(detail, Code.CONFIG_STALE, retry_after=1.0)
     _check_rights(tables.configuration, workspace, target)
     _check_endpoint(tables.directory, target, endpoint)
@@ -69,10 +71,12 @@
 def _check_rights(
     tables: ConfigurationTables, workspace: WorkspaceId, target: Target
 ) -> None:
-    """Check that the workspace may use the target now."""
+    """Check that the workspace may currently use the target."""
     entity = tables.workspaces.get(workspace)
     if entity is None:
-        raise AuthorizationError(f"workspace {workspace} is gone", Code.FORBIDDEN)
+        raise AuthorizationError(
+            f"workspace {workspace} no longer exists", Code.FORBIDDEN
+        )
     match target:
         case VersionTarget(version):
             if version not in entity.versions:
@@ -86,7 +90,7 @@
 
 
 def _check_version(tables: ConfigurationTables, version: VersionId) -> None:
-    """Check that a version still takes new work."""
+    """Check that a version still accepts new work."""
     entity = tables.versions.get(version)
     if entity is None or entity.state is VersionState.WITHDRAWN:
         raise RefusedError(f"version {version} is withdrawn", Code.VERSION_WITHDRAWN)
@@ -95,19 +99,19 @@
 def _check_endpoint(
     directory: DirectoryTables, target: Target, id_: EndpointId
 ) -> None:
-    """Check that an endpoint still takes work for the target."""
+    """Check that an endpoint still accepts work for the target."""
     endpoint = directory.endpoints.get(id_)
     if endpoint is None or not endpoint.serving:
-        raise _make_endpoint_error(f"endpoint {id_} has left")
+        raise _make_endpoint_error(f"endpoint {id_} has left or is leaving")
     if not _runs_target(endpoint, target):
         raise _make_endpoint_error(f"endpoint {id_} has not loaded {target.name}")
 
 
 def _runs_target(endpoint: Endpoint, target: Target) -> bool:
-    """Whether the endpoint announced the target."""
+    """Whether the endpoint has announced the target."""
     return target.name in endpoint.announcement.versions
 
 
 def _make_endpoint_error(detail: str) -> RefusedError:
-    """Make the refusal of an endpoint; another one may do."""
+    """Return the error of an unusable endpoint; another endpoint may be usable."""
     return RefusedError(detail, Code.NO_ENDPOINT)
--- a/packages/core/src/bergamotwood_core/messages.py
+++ b/packages/core/src/bergamotwood_core/messages.py
@@ -1,4 +1,4 @@
-"""Messages that endpoints and daemons exchange about themselves."""
+"""Status messages of endpoints and entries."""
 
 from msgspec import Struct, field
 
@@ -15,7 +15,7 @@
 
 
 class Address(Struct, frozen=True):
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
@@ -25,48 +25,48 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that a text names as `host:port`.
+    """Parse an address of the form `host:port`.
 
     Raises
     ------
     ValueError
-        When it names none.
+        If the text has another form.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal():
-        raise ValueError(f"not an address with a port: {text!r:.60}")
+        raise ValueError(f"invalid address, expected host:port: {text!r:.60}")
     return Address(host, int(port))
 
 
 class Announcement(Struct, frozen=True, forbid_unknown_fields=True):
-    """What an endpoint says of itself, every second or so.
+    """Periodic status of an endpoint, sent about every second.
 
     Parameters
     ----------
     id : EndpointId
-        The endpoint.
+        Endpoint.
     incarnation, sequence : int
-        Rise with each start, and with each announcement of one start.
+        Increase with each start, and with each announcement after a start.
     address : Address
-        Where it takes requests.
+        Address that accepts requests.
     data_centre : DataCentre
-        Where it runs.
+        Data centre of the endpoint.
     kind : EndpointKind
         Model engine or plain service.
     versions : tuple of str
         Loaded model versions; for a plain service, its name.
     capacity : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     load : float
-        Requests running or queued there, as last measured.
+        Running and queued requests, as last measured.
     checks_fencing : bool
-        Whether it refuses orders with an old fencing token.
+        Whether the endpoint refuses orders with an old fencing token.
     state : EndpointState
-        Leaving is final for an incarnation.
+        Serving or leaving; leaving is final for an incarnation.
     prefixes : tuple of int
-        64-bit hashes of prompt prefixes held in its cache, a hint.
+        64-bit hashes of the prompt prefixes in its cache, as a hint.
     crash_suspects : tuple of str
-        Fingerprints that were running when its last incarnation crashed.
+        Fingerprints that were running when the previous incarnation crashed.
     """
 
     id: EndpointId
@@ -85,7 +85,7 @@
 
 
 class LoadReport(Struct, frozen=True, array_like=True):
-    """What changes in an endpoint's word from one announcement to the next."""
+    """New load of an endpoint, sent while its membership fields are unchanged."""
 
     id: EndpointId
     incarnation: Incarnation
@@ -94,24 +94,24 @@
 
 
 class EntryReport(Struct, frozen=True):
-    """What an entry says of itself to the control replicas.
+    """Status of an entry, sent to the control replicas.
 
     Parameters
     ----------
     id : InstanceId
-        The entry.
+        Entry.
     incarnation, sequence : int
-        Order its reports.
+        Order of its reports.
     address : Address
-        Where callers reach it.
+        Address for callers.
     data_centre : DataCentre
-        Where it runs.
+        Data centre of the entry.
     state : EntryState
-        Draining entries are never given to callers.
+        Serving or draining; callers never get the address of a draining entry.
     in_flight : int
-        Requests it is serving.
+        Number of requests being served.
     applied : LogIndex
-        Configuration that it has in force.
+        Log index of the configuration in force.
     """
 
     id: InstanceId
--- a/packages/core/src/bergamotwood_core/orders.py
+++ b/packages/core/src/bergamotwood_core/orders.py
@@ -1,9 +1,8 @@
-"""Orders to endpoints: which versions to load where, paced and fenced.
+"""Orders to endpoints to load model versions, with rate limit and fencing.
 
-Only a leader within its lease orders. Its fencing token lets an endpoint
-refuse a former leader; for endpoints that do not check it, the lease alone
-keeps two leaders from ordering at once, so it is checked again at the moment
-of sending.
+Only a leader with a valid lease issues orders. The fencing token lets an endpoint
+refuse a former leader. For endpoints that do not check it, only the lease prevents
+two leaders from ordering at once, so it is checked again just before sending.
 """
 
 from collections import Counter
@@ -19,25 +18,25 @@
 from bergamotwood_core.states import EndpointKind, RolloutState, VersionState
 from bergamotwood_core.tables import ConfigurationTables, DirectoryTables, Endpoint
 
-# Endpoints that get a model which none has yet.
+# Number of endpoints that load a model which no endpoint has loaded yet.
 INITIAL_COPIES = 2
-# Time after which a load that has not shown is ordered again.
+# Time after which a load that has not been announced is ordered again.
 LOAD_RETRY_SECONDS = 60.0
 
 
 class LoadOrder(Struct, frozen=True):
-    """Order to one endpoint to load one version.
+    """Order to an endpoint to load a version.
 
     Parameters
     ----------
     endpoint, incarnation : EndpointId, Incarnation
-        Whom it is for.
+        Recipient.
     address : Address
-        Where to send it.
+        Address of the recipient.
     version : VersionId
-        What to load.
+        Version to load.
     token : FencingToken
-        Term and index of the leader.
+        Term and log index of the leader.
     """
 
     endpoint: EndpointId
@@ -48,12 +47,12 @@
 
 
 class LoadRateLimit(Struct, frozen=True):
-    """The weight store's limit.
+    """Rate limit of loads from the weight store.
 
     Parameters
     ----------
     loads_per_second : float
-        Loads that it serves in the long run.
+        Sustained rate of loads.
     burst : int
         Loads that may start at once.
     """
@@ -67,17 +66,17 @@
 
 @dataclass
 class OrderTables:
-    """What a leader has ordered.
+    """Orders of a leader that are not confirmed yet, and its rate limit state.
 
     Parameters
     ----------
     ordered : dict
-        When each load was ordered that has not shown yet.
+        Time of the order for each load that has not been announced yet.
     allowance : float
-        Loads that may be ordered now; a new leader begins with none, for its
-        predecessor may have used the weight store's burst.
+        Loads that may be ordered now. A new leader starts with 0, because its
+        predecessor may have used up the burst of the weight store.
     filled_at : Seconds or None
-        When the allowance was last raised, None while it does not lead.
+        When the allowance was last refilled; None while this replica does not lead.
     """
 
     ordered: dict[LoadKey, Seconds] = field(default_factory=dict)
@@ -93,20 +92,21 @@
     rate_limit: LoadRateLimit,
     now: Seconds,
 ) -> list[LoadOrder]:
-    """Return the loads to order in this tick.
+    """Return the load orders to send in this tick.
 
     Parameters
     ----------
     configuration, directory : ConfigurationTables, DirectoryTables
-        What should be loaded, and what is.
+        Required versions, and the versions that endpoints have loaded.
     orders : OrderTables
-        Updated by this call.
+        Updated in place.
     token : FencingToken or None
-        None when this replica does not hold the lease; then nothing is ordered.
+        Fencing token; None if this replica does not hold the lease, in which case
+        nothing is ordered and `orders` is reset.
     rate_limit : LoadRateLimit
-        The weight store's limit.
+        Rate limit of the weight store.
     now : Seconds
-        Time of the tick.
+        Current time.
     """
     if token is None:
         orders.ordered.clear()
@@ -127,7 +127,7 @@
 def find_missing_loads(
     configuration: ConfigurationTables, directory: DirectoryTables
 ) -> list[LoadKey]:
-    """Return the loads that are missing, versions with fewest copies first."""
+    """Return the missing loads, ordered by the number of loaded copies."""
     endpoints = [
         endpoint
         for endpoint in directory.endpoints.values()
--- a/packages/core/src/bergamotwood_core/outlier.py
+++ b/packages/core/src/bergamotwood_core/outlier.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what attempts tell about their endpoints."""
+"""Outlier detection: failures, latency and silence of endpoints."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.tables import Endpoint
@@ -6,15 +6,16 @@
 FAILURES_TO_EJECT = 3
 EJECTION_BASE_SECONDS = 2.0
 EJECTION_CAP_SECONDS = 60.0
-# Weight of the newest time to the first token in the moving average.
+# Smoothing factor of the moving average of first-token times.
 LATENCY_SMOOTHING = 0.2
-# An endpoint counts as silent after this time without any first token.
+# An endpoint counts as silent after this time without any first token, or after
+# this multiple of its mean first-token time if that is longer.
 MIN_SILENCE_SECONDS = 3.0
 SILENCE_FACTOR = 5.0
 
 
 def record_start(endpoint: Endpoint, now: Seconds) -> None:
-    """Count an attempt that is being sent to an endpoint."""
+    """Record the start of an attempt."""
     endpoint.outstanding += 1
     if endpoint.awaiting_first_token == 0:
         endpoint.awaiting_since = now
@@ -22,16 +23,16 @@
 
 
 def record_first_token(endpoint: Endpoint, seconds: float, now: Seconds) -> None:
-    """Note an attempt's first token.
+    """Record the first token of an attempt.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Which sent it.
+        Endpoint that sent it.
     seconds : float
-        Time from dispatch to the first token, or to a plain answer.
+        Time from dispatch to the first token, or to an answer that is not streamed.
     now : Seconds
-        When it came.
+        Current time.
     """
     endpoint.awaiting_first_token = max(0, endpoint.awaiting_first_token - 1)
     endpoint.awaiting_since = now
@@ -43,25 +44,26 @@
 
 
 def record_success(endpoint: Endpoint, now: Seconds) -> None:
-    """Note an attempt that ended whole, after its first token was noted."""
+    """Record a completed attempt, after `record_first_token`."""
     endpoint.outstanding = max(0, endpoint.outstanding - 1)
     endpoint.failures = 0
     endpoint.ejected_until = now
 
 
 def record_failure(endpoint: Endpoint, now: Seconds, answered: bool = False) -> None:
-    """Note a failed attempt, and eject the endpoint after several in a row.
+    """Record a failed attempt; eject the endpoint after several consecutive failures.
 
-    One is enough from a silent endpoint: other attempts waited there in vain too.
+    A single failure ejects a silent endpoint, since none of the waiting attempts has
+    received a first token.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Which failed.
+        Endpoint that failed.
     now : Seconds
-        When.
+        Current time.
     answered : bool
-        Whether the attempt's first token had come.
+        Whether the attempt had received its first token.
     """
     if is_silent(endpoint, now):
         endpoint.failures = max(endpoint.failures, FAILURES_TO_EJECT - 1)
@@ -75,14 +77,14 @@
 
 
 def record_cancel(endpoint: Endpoint, answered: bool = False) -> None:
-    """Note an attempt that this daemon gave up, with no blame.
+    """Record an attempt cancelled by this daemon, which does not count as a failure.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where it ran.
+        Endpoint that ran the attempt.
     answered : bool
-        Whether its first token had come.
+        Whether the attempt had received its first token.
     """
     endpoint.outstanding = max(0, endpoint.outstanding - 1)
     if not answered:
@@ -90,10 +92,10 @@
 
 
 def is_silent(endpoint: Endpoint, now: Seconds) -> bool:
-    """Whether an endpoint takes work and has sent no first token for long.
+    """Whether attempts have waited too long for any first token from an endpoint.
 
-    It gets no new work meanwhile; the attempts that wait there go on until their
-    own timeouts.
+    A silent endpoint gets no new work. Attempts that already wait there continue
+    until their own timeouts.
     """
     if endpoint.awaiting_first_token == 0:
         return False
--- a/packages/core/src/bergamotwood_core/pool.py
+++ b/packages/core/src/bergamotwood_core/pool.py
@@ -1,4 +1,4 @@
-"""Pools: the endpoints of a version or service, by data centre."""
+"""Pools of the endpoints that run a version or service, by data centre."""
 
 from numpy import array, uint64
 from xxhash import xxh3_64_intdigest
@@ -8,14 +8,14 @@
 
 
 def find_pool(tables: DirectoryTables, key: PoolKey) -> Pool:
-    """Find a pool, made anew after a change of membership.
+    """Return a pool from the cache, which is cleared when the membership changes.
 
     Parameters
     ----------
     tables : DirectoryTables
-        Endpoints, and the pools made from them.
+        Endpoints and their cached pools.
     key : PoolKey
-        Which pool.
+        Key of the pool.
     """
     size = len(tables.endpoints)
     if tables.pools_version != tables.membership_version or tables.pools_size != size:
@@ -30,7 +30,7 @@
 
 
 def _make_pool(tables: DirectoryTables, key: PoolKey) -> Pool:
-    """Collect the endpoints of a pool."""
+    """Build a pool from the serving endpoints."""
     members = sorted(
         announcement.id
         for announcement in (row.announcement for row in tables.endpoints.values())
--- a/packages/core/src/bergamotwood_core/quarantine.py
+++ b/packages/core/src/bergamotwood_core/quarantine.py
@@ -1,4 +1,4 @@
-"""Fingerprints of requests that were running when endpoints crashed."""
+"""Isolation and quarantine of requests that were running when endpoints crashed."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -10,30 +10,30 @@
 from bergamotwood_core.tables import Suspect
 
 QUARANTINE_CRASHES = 2
-# One in so many endpoints may be kept for the retry of suspects.
+# At most one in this many endpoints is reserved for retries of suspects.
 RETRY_ENDPOINT_DIVISOR = 2
-# Finished fingerprints that an entry remembers.
+# Maximum number of finished fingerprints that an entry keeps.
 MAX_FINISHED = 10_000
-# How long a suspect waits before its retry: longer than a crash record takes to
-# every entry, so that duplicates that run elsewhere are known by then.
+# Delay before a suspect is retried. It exceeds the time that a crash record takes
+# to reach all entries, so that crashes of duplicates elsewhere are known by then.
 CRASH_PROPAGATION_SECONDS = 1.0
-# How long an entry waits for another's retry of a suspect before its own.
+# How long an entry waits for the retry by another entry before its own retry.
 RETRY_RESULT_TIMEOUT_SECONDS = 8.0
 
 
 @dataclass(frozen=True, slots=True)
 class Unsuspected:
-    """The fingerprint is under no suspicion."""
+    """The fingerprint is not a suspect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Isolated:
-    """May be retried once, with no other suspect beside it.
+    """The fingerprint may be retried once, on an endpoint without other suspects.
 
     Parameters
     ----------
     avoid : EndpointId
-        Endpoint that crashed last.
+        Endpoint that crashed last while running it.
     """
 
     avoid: EndpointId
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Quarantined:
-    """Runs nowhere.
+    """The fingerprint must not run.
 
     Parameters
     ----------
     crashes : int
-        Endpoints that crashed under it.
+        Number of endpoints that crashed while running it.
     """
 
     crashes: int
@@ -56,16 +56,17 @@
 
 
 def fingerprint_request(workspace: WorkspaceId, path: str, body: bytes) -> Fingerprint:
-    """Fingerprint a request, the same whatever its idempotency key.
+    """Compute the fingerprint of a request, independent of its idempotency key.
 
     Parameters
     ----------
     workspace : WorkspaceId
-        Whose request; one workspace cannot quarantine another's.
+        Workspace of the request. It is part of the fingerprint, so that one
+        workspace cannot quarantine the requests of another.
     path : str
-        Path that it was sent to.
+        Path of the request.
     body : bytes
-        Its whole body.
+        Complete body of the request.
     """
     digest = xxh3_128()
     for part in (workspace.encode(), path.encode()):
@@ -78,14 +79,14 @@
 def check_fingerprint(
     suspects: Mapping[Fingerprint, Suspect], fingerprint: Fingerprint
 ) -> Clearance:
-    """Decide how a fingerprint may run.
+    """Decide whether and how a request may run.
 
     Parameters
     ----------
     suspects : mapping
         `ConfigurationTables.suspects`.
     fingerprint : Fingerprint
-        The request's.
+        Fingerprint of the request.
     """
     suspect = suspects.get(fingerprint)
     if suspect is None or suspect.crashes == 0:
@@ -98,16 +99,18 @@
 def require_clearance(
     suspects: Mapping[Fingerprint, Suspect], fingerprint: Fingerprint
 ) -> Unsuspected | Isolated:
-    """Check a fingerprint at dispatch.
+    """Check a fingerprint before dispatch.
 
     Raises
     ------
     RefusedError
-        When the fingerprint is quarantined.
+        If the fingerprint is quarantined.
     """
     match check_fingerprint(suspects, fingerprint):
         case Quarantined(crashes):
-            detail = f"request is quarantined: {crashes} endpoints crashed under it"
+            detail = (
+                f"request is quarantined: {crashes} endpoints crashed while running it"
+            )
             raise RefusedError(detail, Code.QUARANTINED)
         case clearance:
             return clearance
@@ -115,12 +118,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunNow:
-    """Dispatch the request, by the rules of its clearance."""
+    """Dispatch the request as its clearance allows."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitFor:
-    """Look again after some seconds; nothing runs meanwhile."""
+    """Keep the request waiting and plan again after some seconds."""
 
     seconds: float
 
@@ -136,20 +139,20 @@
 def plan_dispatch(
     clearance: Clearance, crashed: bool, granted: bool, waited: float
 ) -> DispatchPlan:
-    """Plan what an entry does with a request that may be a suspect.
+    """Decide whether a request that may be a suspect runs, waits or is refused.
 
     Parameters
     ----------
     clearance : Clearance
-        How the fingerprint may run, as the entry knows it now.
+        Current clearance of the fingerprint, as known to the entry.
     crashed : bool
-        Whether an endpoint crashed under the request at this entry, which the
-        entry's own tables may not show yet.
+        Whether an endpoint crashed while running the request for this entry. The
+        entry's tables may not show this crash yet.
     granted : bool
-        Whether this entry's record of the last crash was the first in the log: it
-        alone retries, all others wait for what comes of that.
+        Whether this entry's record of the last crash was the first in the log. Only
+        that entry retries; the others wait for the result.
     waited : float
-        Seconds that the request has waited since it was first planned as a suspect.
+        Seconds since the request was first handled as a suspect.
     """
     match clearance:
         case Unsuspected() if not crashed or waited >= CRASH_PROPAGATION_SECONDS:
@@ -165,23 +168,23 @@
 def assign_endpoints(
     suspects: Mapping[Fingerprint, Suspect], endpoints: Sequence[EndpointId]
 ) -> dict[Fingerprint, EndpointId]:
-    """Give suspects that are to be retried an endpoint each.
+    """Assign a separate endpoint to each suspect that is to be retried.
 
-    Every entry computes the same from the replicated table, so that no two suspects
-    run beside each other, whichever entries retry them. An assigned endpoint gets no
-    other new work; a suspect without one waits.
+    Every entry computes the same assignment from the replicated table, so that two
+    suspects never share an endpoint, whichever entries retry them. An assigned
+    endpoint gets no other new work; a suspect without an endpoint waits.
 
     Parameters
     ----------
     suspects : mapping
         `ConfigurationTables.suspects`, in the order of the log.
     endpoints : sequence of EndpointId
-        Endpoints that are fit for work.
+        Eligible endpoints.
 
     Returns
     -------
     dict
-        Endpoint of each suspect; at most half of the endpoints.
+        Endpoint of each suspect, using at most half of the endpoints.
     """
     free = list(endpoints)
     max_assigned = max(1, len(free) // RETRY_ENDPOINT_DIVISOR)
@@ -203,15 +206,15 @@
 
 
 class FinishedRequests:
-    """Fingerprints that ran to their end here, the newest ones.
+    """Most recent fingerprints whose requests finished at this entry.
 
-    What has finished once does not crash each endpoint that runs it, so that a crash
-    of an endpoint under it is no evidence against it.
+    A request that has finished once does not crash every endpoint that runs it, so
+    a crash while it runs is no evidence against it.
 
     Parameters
     ----------
     limit : int
-        Fingerprints kept.
+        Maximum number of fingerprints kept.
     """
 
     def __init__(self, limit: int = MAX_FINISHED) -> None:
@@ -219,7 +222,7 @@
         self._newest: dict[Fingerprint, None] = {}
 
     def add(self, fingerprint: Fingerprint) -> None:
-        """Remember a fingerprint, and forget the oldest beyond the limit."""
+        """Add a fingerprint, evicting the oldest one beyond the limit."""
         self._newest.pop(fingerprint, None)
         self._newest[fingerprint] = None
         if len(self._newest) > self.limit:
@@ -230,10 +233,9 @@
 
 
 class Isolation:
-    """Suspects that run now, at most one on an endpoint.
+    """Suspects that this entry runs now, at most one per endpoint.
 
-    Every entry keeps its own; entries learn each other's suspects through the
-    replicated table.
+    Entries learn about the suspects of other entries from the replicated table.
     """
 
     def __init__(self) -> None:
@@ -241,38 +243,38 @@
 
     @property
     def endpoints(self) -> frozenset[EndpointId]:
-        """Endpoints that run a suspect now."""
+        """Endpoints that currently run a suspect."""
         return frozenset(self._running)
 
     def runs(self, fingerprint: Fingerprint) -> bool:
-        """Whether the suspect runs already."""
+        """Whether the suspect is running."""
         return fingerprint in self._running.values()
 
     def start(self, fingerprint: Fingerprint, endpoint: EndpointId) -> bool:
-        """Take an endpoint for a suspect; False when another one has it."""
+        """Reserve an endpoint for a suspect; return False if either is in use."""
         if endpoint in self._running or self.runs(fingerprint):
             return False
         self._running[endpoint] = fingerprint
         return True
 
     def stop(self, fingerprint: Fingerprint, endpoint: EndpointId) -> None:
-        """Give the endpoint back, whatever became of the suspect."""
+        """Release the endpoint, whatever the outcome of the suspect."""
         if self._running.get(endpoint) == fingerprint:
             del self._running[endpoint]
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """What an entry saw when an attempt failed.
+    """Circumstances of a failed attempt, as seen by the entry.
 
     Parameters
     ----------
     running : bool
-        Whether the request had been written whole and had no whole answer.
+        Whether the request had been sent completely, without a complete answer.
     pooled : bool
         Whether the connection had served another request before.
     answered : bool
-        Whether any byte of the answer had come.
+        Whether any byte of the answer had been received.
     reset : bool
         Whether the connection was refused, reset or closed early.
     """
@@ -286,16 +288,16 @@
 def is_crash(
     failure: AttemptFailure, incarnation_changed: bool, probe_failed: bool
 ) -> bool:
-    """Decide whether a failure is evidence of a crash of the endpoint.
+    """Decide whether a failure is evidence that the endpoint crashed.
 
     Parameters
     ----------
     failure : Failure
-        The failed attempt.
+        Circumstances of the failed attempt.
     incarnation_changed : bool
         Whether the endpoint has announced a new incarnation since.
     probe_failed : bool
-        Whether a newly dialled connection to the endpoint failed.
+        Whether a new connection to the endpoint failed.
     """
     if not failure.running or not failure.reset:
         return False
--- a/packages/core/src/bergamotwood_core/session.py
+++ b/packages/core/src/bergamotwood_core/session.py
@@ -1,4 +1,4 @@
-"""Session ids that carry their version, so that any entry can honour them."""
+"""Signed session ids that contain their version, readable by every entry."""
 
 from hashlib import sha256
 from hmac import compare_digest, digest
@@ -18,47 +18,49 @@
 
 
 def make_session(version: VersionId, secret: bytes, rng: Random) -> SessionId:
-    """Make the id of a new session that stays on one version.
+    """Create the id of a new session that is pinned to one version.
 
     Parameters
     ----------
     version : VersionId
-        Version that the session starts on.
+        Version of the session.
     secret : bytes
-        Key that all entries share.
+        Signing key shared by all entries.
     rng : Random
-        Source of the nonce that tells sessions apart.
+        Random number generator for the nonce, which makes the id unique.
 
     Returns
     -------
     SessionId
-        Printable, safe in an HTTP header.
+        Printable id, safe in an HTTP header.
     """
     nonce = f"{rng.getrandbits(NONCE_BITS):016x}"
     return SessionId(SEPARATOR.join((version, nonce, _sign(version, nonce, secret))))
 
 
 def read_session(session: SessionId, secret: bytes) -> VersionId:
-    """Check a session id and read its version.
+    """Verify a session id and return its version.
 
     Raises
     ------
     RequestError
-        When no entry made this id with this secret.
+        If the id was not created with this secret.
     """
     parts = session.split(SEPARATOR)
     if len(session) > MAX_SESSION_CHARACTERS or len(parts) != 3:
-        raise RequestError("session id has the wrong form", Code.SESSION_INVALID)
+        raise RequestError("session id is malformed", Code.SESSION_INVALID)
     version, nonce, mac = parts
     expected = _sign(version, nonce, secret)
     if not compare_digest(expected.encode(), mac.encode(errors="replace")):
-        raise RequestError("session id is not genuine", Code.SESSION_INVALID)
+        raise RequestError("session id has an invalid signature", Code.SESSION_INVALID)
     if not _VERSION.match(version):
-        raise RequestError("session id names no version", Code.SESSION_INVALID)
+        raise RequestError(
+            "session id contains an invalid version", Code.SESSION_INVALID
+        )
     return VersionId(version)
 
 
 def _sign(version: str, nonce: str, secret: bytes) -> str:
-    """Compute the MAC of a version and a nonce."""
+    """Compute the message authentication code of a version and a nonce."""
     message = SEPARATOR.join((version, nonce)).encode(errors="replace")
     return digest(secret, message, sha256)[:MAC_BYTES].hex()
--- a/packages/core/src/bergamotwood_core/stream.py
+++ b/packages/core/src/bergamotwood_core/stream.py
@@ -1,4 +1,4 @@
-"""Streamed answers: chunks in order, resume, and a checked end."""
+"""Reassembly of streamed answers, with resumption and a completeness check."""
 
 from dataclasses import dataclass
 
@@ -9,29 +9,29 @@
 
 
 class Usage(Struct, frozen=True):
-    """Tokens that an answer took; a resumed answer counts from its start."""
+    """Token counts of an answer; those of a resumed answer include its first part."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
 
 class Chunk(Struct, frozen=True):
-    """One piece of a streamed answer.
+    """One chunk of a streamed answer.
 
     Parameters
     ----------
     request : RequestId
-        The request that it answers.
+        Request that it answers.
     index : int
         Position in the answer, from 0.
     content : str
-        Text of one token; empty in a chunk that only closes the answer.
+        Text of one token; empty in a chunk that only ends the answer.
     finish_reason : str or None
-        Why the answer ended, on its last piece of content or after it.
+        Reason for the end of the answer, in the last chunk with content or later.
     usage : Usage or None
-        Tokens taken, on the last chunk.
+        Token counts, in the last chunk.
     delta : Raw
-        The whole delta as the endpoint sent it, for fields besides the text.
+        Complete delta as sent by the endpoint, including fields besides the text.
     """
 
     request: RequestId
@@ -50,16 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLimits:
-    """Bounds of one streamed answer.
+    """Limits of one streamed answer.
 
     Parameters
     ----------
     max_reorder_distance : int
-        How far ahead of the next index a chunk may be.
+        Maximum distance of a chunk from the next expected index.
     max_repeats : int
-        Repeated chunks in a row before the stream counts as broken.
+        Maximum number of consecutive repeated chunks.
     max_tokens : int
-        Tokens of one answer.
+        Maximum number of tokens.
     """
 
     max_reorder_distance: int = 64
@@ -68,14 +68,14 @@
 
 
 class StreamAssembler:
-    """Puts the chunks of one answer in order, whatever order they come in.
+    """Assembles the chunks of one answer in order, whatever their order of arrival.
 
     Parameters
     ----------
     request : RequestId
-        The request whose chunks are taken.
+        Request whose chunks are accepted.
     limits : StreamLimits
-        Bounds.
+        Limits.
     """
 
     def __init__(self, request: RequestId, limits: StreamLimits | None = None) -> None:
@@ -92,7 +92,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether the end was seen and checked."""
+        """Whether the whole answer was received, including its end marker."""
         return (
             self._done_seen
             and not self._held_chunks
@@ -102,31 +102,33 @@
         )
 
     def accept(self, chunk: Chunk, attempt: int | None = None) -> tuple[Chunk, ...]:
-        """Take one chunk and return those that are next for the caller.
+        """Accept a chunk and return the chunks that are now in order.
 
         Parameters
         ----------
         chunk : Chunk
-            As it came.
+            Received chunk.
         attempt : int, optional
-            Attempt that it came from; chunks of earlier attempts are dropped.
+            Attempt that sent it; chunks of earlier attempts are dropped.
 
         Raises
         ------
         EndpointError
-            When the chunk belongs to another request, comes after the end, or
-            breaks a bound.
+            If the chunk belongs to another request, follows the end marker or exceeds
+            a limit.
         """
         if attempt is not None and attempt != self.attempt:
             return ()
         if chunk.request != self.request:
-            raise _make_stream_error(f"a chunk of request {chunk.request}")
+            raise _make_stream_error(f"received a chunk of request {chunk.request}")
         if self._done_seen:
-            raise _make_stream_error("a chunk after the end marker")
+            raise _make_stream_error("received a chunk after the end marker")
         if chunk.index < self.next_index or chunk.index in self._held_chunks:
             return self._drop_repeated_chunk()
         if chunk.index > self.next_index + self.limits.max_reorder_distance:
-            raise _make_stream_error(f"chunk {chunk.index}, expected {self.next_index}")
+            raise _make_stream_error(
+                f"received chunk {chunk.index}, expected {self.next_index}"
+            )
         self._repeats = 0
         if chunk.index > self.next_index:
             self._held_chunks[chunk.index] = chunk
@@ -137,20 +139,20 @@
         return self._release(chunk)
 
     def resume(self) -> int:
-        """Start over at `next_index` on another endpoint.
+        """Resume the answer at `next_index` on another endpoint.
 
-        Early chunks of the old endpoint are void: the new one may go on with
-        other words.
+        Held chunks of the old endpoint are dropped, since the new one may generate
+        different text.
 
         Returns
         -------
         int
-            The new attempt.
+            Number of the new attempt.
 
         Raises
         ------
         EndpointError
-            When the answer has ended already.
+            If the answer has already ended.
         """
         if self._done_seen:
             raise _make_stream_error("resumed after the end marker")
@@ -165,12 +167,12 @@
         Parameters
         ----------
         done_seen : bool
-            Whether the end marker came, as against a closed connection.
+            Whether the end marker was received before the connection closed.
 
         Raises
         ------
         EndpointError
-            When the answer is not whole; it may be resumed then.
+            If the answer is incomplete; it may then be resumed.
         """
         self._done_seen = done_seen
         if self.complete and self.usage is not None:
@@ -180,19 +182,21 @@
         raise _make_stream_error(detail)
 
     def _advance(self, chunk: Chunk) -> None:
-        """Count the chunk that has the next index."""
+        """Account for the chunk with the next index."""
         if self.finish_reason is not None and chunk.is_token:
-            raise _make_stream_error("a token after the finish reason")
+            raise _make_stream_error("received a token after the finish reason")
         if chunk.is_token:
             self.tokens += 1
         if self.tokens > self.limits.max_tokens:
-            raise EndpointError("answer is too long", Code.ANSWER_TOO_LARGE)
+            raise EndpointError(
+                f"answer exceeds {self.limits.max_tokens} tokens", Code.ANSWER_TOO_LARGE
+            )
         self.next_index += 1
         self.finish_reason = chunk.finish_reason or self.finish_reason
         self.usage = chunk.usage or self.usage
 
     def _release(self, chunk: Chunk) -> tuple[Chunk, ...]:
-        """Return a chunk with the held ones that follow it."""
+        """Return a chunk together with the held chunks that follow it."""
         ready = []
         following: Chunk | None = chunk
         while following is not None:
@@ -202,23 +206,27 @@
         return tuple(ready)
 
     def _drop_repeated_chunk(self) -> tuple[Chunk, ...]:
-        """Drop a chunk that came before, up to a bound."""
+        """Drop a repeated chunk, up to the limit of consecutive repeats."""
         self._repeats += 1
         if self._repeats > self.limits.max_repeats:
-            raise _make_stream_error("only repeated chunks")
+            raise _make_stream_error(
+                f"received more than {self.limits.max_repeats} repeated chunks"
+            )
         return ()
 
     def _explain_end(self) -> str:
-        """Say what is missing from the end of the answer."""
+        """Explain why the answer is incomplete."""
         if not self._done_seen:
             return f"no end marker after chunk {self.next_index - 1}"
         if self._held_chunks:
             return f"chunk {self.next_index} is missing"
         if self.finish_reason is None or self.usage is None:
-            return "end marker without finish reason and usage"
-        return f"{self.tokens} tokens came of {self.usage.completion_tokens}"
+            return "end marker without finish reason or usage"
+        return (
+            f"received {self.tokens} tokens, usage has {self.usage.completion_tokens}"
+        )
 
 
 def _make_stream_error(detail: str) -> EndpointError:
-    """Make the error of a broken stream."""
+    """Return the error of a broken stream."""
     return EndpointError(f"stream broken: {detail}", Code.STREAM_BROKEN)
--- a/packages/core/src/bergamotwood_core/target.py
+++ b/packages/core/src/bergamotwood_core/target.py
@@ -1,4 +1,4 @@
-"""What one attempt of a request runs on."""
+"""Targets of attempts: model versions and plain services."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionTarget:
-    """A version of a model."""
+    """A model version."""
 
     version: VersionId
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceTarget:
-    """A plain service."""
+    """A service that is not a model."""
 
     service: ServiceName
 
--- a/tests/core/fleet.py
+++ b/tests/core/fleet.py
@@ -1,4 +1,4 @@
-"""Small tables for the tests of the decisions."""
+"""Builders of small endpoint and configuration tables for tests."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Model, Service, Version, Workspace
@@ -31,7 +31,7 @@
     versions: tuple[str, ...] = (VERSION,),
     state: EndpointState = EndpointState.SERVING,
 ) -> Endpoint:
-    """Make one endpoint as a daemon knows it."""
+    """Make an endpoint entry of the directory."""
     announcement = Announcement(
         id=EndpointId(name),
         incarnation=Incarnation(1),
@@ -48,12 +48,12 @@
 
 
 def make_directory(*endpoints: Endpoint) -> DirectoryTables:
-    """Make a directory of endpoints."""
+    """Make a directory with the given endpoints."""
     return DirectoryTables({endpoint.id: endpoint for endpoint in endpoints})
 
 
 def make_tables(*endpoints: Endpoint) -> Tables:
-    """Make tables of one workspace, one version and one service."""
+    """Make tables with one workspace, one model version and one service."""
     tables = Tables(directory=make_directory(*endpoints))
     version = Version(id=VERSION, state=VersionState.SERVING)
     configuration = tables.configuration
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class DispatchCase:
-    """A dispatch that would be allowed until something changes."""
+    """A dispatch that is allowed unless its tables or settings are changed."""
 
     tables: Tables = field(
         default_factory=lambda: make_tables(
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -117,7 +117,7 @@
 
 
 class OrderingCluster:
-    """Replicas that order by their leases, and endpoints that note it."""
+    """Replicas that issue load orders under their leases, with a record of the orders."""
 
     def __init__(self, seed):
         self.cluster = Cluster(seed, faults=False)
@@ -129,7 +129,7 @@
         self.newest = FencingToken(Term(0), LogIndex(0))
 
     def order(self, node):
-        """One tick of ordering on one replica, as a daemon does it."""
+        """Run one tick of ordering on one replica, as a daemon does."""
         replica = node.replica
         clock = self.cluster.clock(node)
         token = None
@@ -152,7 +152,9 @@
             self.newest = max(self.newest, order.token)
         self.received.append((order.endpoint, order.token, refused))
         verdict = "refuses" if refused else "loads"
-        self.note(f"{order.endpoint} {verdict} {order.version}, by {node.instance}")
+        self.note(
+            f"{order.endpoint} {verdict} {order.version}, ordered by {node.instance}"
+        )
 
     def note(self, text):
         self.trace.append(f"{self.cluster.now:8.3f} {text}")
@@ -167,7 +169,10 @@
 
 
 def resume_paused_leader(seed):
-    """Pause the leader until another has ordered; return the ordering and both."""
+    """Pause the leader until a new one has issued orders, then let it order again.
+
+    Returns the cluster, the resumed leader and the new leader.
+    """
     ordering = OrderingCluster(seed)
     cluster = ordering.cluster
     ordering.run(10.0)
@@ -178,9 +183,7 @@
     new = cluster.find_leader()
     ordering.note(f"{new.instance} leads term {new.replica.term}")
     cluster.now = old.paused_until
-    ordering.note(
-        f"{old.instance} wakes, still thinks it leads: {old.replica.is_leader}"
-    )
+    ordering.note(f"{old.instance} resumes, is leader: {old.replica.is_leader}")
     for _ in range(3):
         before = len(ordering.received)
         ordering.order(old)
--- a/tests/core/test_stream.py
+++ b/tests/core/test_stream.py
@@ -10,7 +10,7 @@
 
 
 def make_chunks(count: int, words: str = "w") -> list[Chunk]:
-    """Make a whole answer: tokens, then the finish reason, then the usage."""
+    """Make a complete answer: tokens, then the finish reason, then the usage."""
     chunks = [Chunk(REQUEST, index, f"{words}{index} ") for index in range(count)]
     chunks.append(Chunk(REQUEST, count, finish_reason="stop"))
     chunks.append(Chunk(REQUEST, count + 1, usage=Usage(3, count)))
