--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -117,7 +117,7 @@
 
 
 class OrderingCluster:
-    """Replicas that issue load orders under their leases, with a record of the orders."""
+    """Replicas that issue load orders under their leases, and the orders received."""
 
     def __init__(self, seed):
         self.cluster = Cluster(seed, faults=False)
