--- a/packages/core/src/bergamotwood_core/allocation.py
+++ b/packages/core/src/bergamotwood_core/allocation.py
@@ -58,18 +58,18 @@
     """
     costs = [option.cost for listed in options for option in listed]
     low, high = MIN_RATING_PRICE_SHARE * min(costs), max(costs)
-    over = _allocate_at_price(options, weights, target, low)
-    if _count_ratings(over, weights) <= ratings_per_request:
-        return over
-    within = find_unrated_mixes(options, weights, target)
+    over_limit = _allocate_at_price(options, weights, target, low)
+    if _count_ratings(over_limit, weights) <= ratings_per_request:
+        return over_limit
+    within_limit = find_unrated_mixes(options, weights, target)
     for _ in range(PRICE_SEARCH_STEPS):
         price = 0.5 * (low + high)
-        found = _allocate_at_price(options, weights, target, price)
-        if _count_ratings(found, weights) <= ratings_per_request:
-            high, within = price, found
+        mixes = _allocate_at_price(options, weights, target, price)
+        if _count_ratings(mixes, weights) <= ratings_per_request:
+            high, within_limit = price, mixes
         else:
-            low, over = price, found
-    return over if allow_excess else within
+            low, over_limit = price, mixes
+    return over_limit if allow_excess else within_limit
 
 
 def find_unrated_mixes(
--- a/packages/core/src/bergamotwood_core/cascade.py
+++ b/packages/core/src/bergamotwood_core/cascade.py
@@ -133,10 +133,14 @@
 
     def __init__(self, settings: CascadeSettings, rng: Random) -> None:
         self.settings = settings
-        kept = SAMPLE_BUDGET_SHARE
+        budget_share = SAMPLE_BUDGET_SHARE
         rate, burst = settings.ratings_per_second, settings.rating_burst
-        self.budget = RatingBudget(rate * (1.0 - kept), burst * (1.0 - kept))
-        self.sample_budget = RatingBudget(rate * kept, max(burst * kept, 1.0))
+        self.budget = RatingBudget(
+            rate * (1.0 - budget_share), burst * (1.0 - budget_share)
+        )
+        self.sample_budget = RatingBudget(
+            rate * budget_share, max(burst * budget_share, 1.0)
+        )
         self._rng = rng
         self._estimates: OrderedDict[EstimateKey, Estimate] = OrderedDict()
         self._usage: OrderedDict[tuple[RequestClass, VersionId], UsageAverage] = (
@@ -319,11 +323,11 @@
             options, weights, target, self.budget.ratings_per_request, allow_excess
         )
         unrated = find_unrated_mixes(options, weights, target)
-        for segment, mix, spare in zip(
+        for segment, mix, unrated_mix in zip(
             state.segments.values(), mixes, unrated, strict=True
         ):
             segment.mix = mix
-            segment.unrated_mix = spare
+            segment.unrated_mix = unrated_mix
         state.planned_at = now
 
     def _list_options(
@@ -417,8 +421,8 @@
         if not self._take_sample(self.find_estimate(key).weight, now):
             return steps
         threshold = min(workspace.quality_target, max(THRESHOLDS))
-        kept = tuple(step for step in steps if step.version != candidate.version)
-        return (Step(candidate.version, True, threshold), *kept)
+        other_steps = tuple(step for step in steps if step.version != candidate.version)
+        return (Step(candidate.version, True, threshold), *other_steps)
 
     def _take_sample(self, weight: float, now: Seconds) -> bool:
         if self.sample_budget.take(now):
@@ -430,19 +434,19 @@
         steps: tuple[Step, ...],
         request_class: RequestClass,
         candidates: Sequence[Candidate],
-        left: float,
+        remaining_seconds: float,
     ) -> tuple[Step, ...]:
-        first = {c.version: c.first_token_seconds for c in candidates}
-        if first[steps[-1].version] > left:
+        first_token_seconds = {c.version: c.first_token_seconds for c in candidates}
+        if first_token_seconds[steps[-1].version] > remaining_seconds:
             fastest = min(candidates, key=lambda c: c.first_token_seconds)
             return (Step(fastest.version),)
-        spare = left - first[steps[-1].version]
-        kept: list[Step] = []
+        spare_seconds = remaining_seconds - first_token_seconds[steps[-1].version]
+        kept_steps: list[Step] = []
         for step in steps[:-1]:
             usage = self._usage.get((request_class, step.version), UsageAverage())
-            wait = first[step.version] + usage.decode_seconds
-            wait += self.settings.rating_seconds
-            if wait <= spare:
-                spare -= wait
-                kept.append(step)
-        return (*kept, steps[-1])
+            step_seconds = first_token_seconds[step.version] + usage.decode_seconds
+            step_seconds += self.settings.rating_seconds
+            if step_seconds <= spare_seconds:
+                spare_seconds -= step_seconds
+                kept_steps.append(step)
+        return (*kept_steps, steps[-1])
--- a/packages/core/src/bergamotwood_core/comparison.py
+++ b/packages/core/src/bergamotwood_core/comparison.py
@@ -136,8 +136,8 @@
             ]
 
 
-def _make_binary_losses(bad: int, trials: int) -> list[Loss]:
-    return [Loss(1.0, bad), Loss(0.0, max(trials - bad, 0))]
+def _make_binary_losses(loss_count: int, trials: int) -> list[Loss]:
+    return [Loss(1.0, loss_count), Loss(0.0, max(trials - loss_count, 0))]
 
 
 def _find_slow_bin(current: ArmCounts) -> int:
--- a/packages/core/src/bergamotwood_core/estimate.py
+++ b/packages/core/src/bergamotwood_core/estimate.py
@@ -146,21 +146,21 @@
         """
         histogram = self._add_prior()
         weight = histogram.weight
-        found: list[tuple[float, float]] = []
+        acceptance: list[tuple[float, float]] = []
         for threshold in thresholds:
-            first = round(threshold * SCORE_BINS)
-            accepted = sum(histogram.weights[first:])
-            above = sum(histogram.totals[first:])
+            first_bin = round(threshold * SCORE_BINS)
+            accepted = sum(histogram.weights[first_bin:])
+            above = sum(histogram.totals[first_bin:])
             score = above / accepted if accepted > 0.0 else threshold
-            found.append((accepted / weight, score - selection_bias))
-        return found
+            acceptance.append((accepted / weight, score - selection_bias))
+        return acceptance
 
     def _add_prior(self) -> ScoreHistogram:
         histogram = ScoreHistogram([*self.ratings.weights], [*self.ratings.totals])
-        good = (self.prior_mean - POOR_SCORE) / (GOOD_SCORE - POOR_SCORE)
-        good = min(max(good, 0.0), 1.0)
-        histogram.add(GOOD_SCORE, self.prior_weight * good)
-        histogram.add(POOR_SCORE, self.prior_weight * (1.0 - good))
+        good_share = (self.prior_mean - POOR_SCORE) / (GOOD_SCORE - POOR_SCORE)
+        good_share = min(max(good_share, 0.0), 1.0)
+        histogram.add(GOOD_SCORE, self.prior_weight * good_share)
+        histogram.add(POOR_SCORE, self.prior_weight * (1.0 - good_share))
         return histogram
 
     def _has_changed(self) -> bool:
@@ -169,25 +169,25 @@
         if count < RECENT_RATINGS or older < count:
             return False
         newest = sum(self.recent)
-        past = (sum(self.ratings.totals) - newest) / older
+        past_mean = (sum(self.ratings.totals) - newest) / older
         error = sqrt(self._add_prior().variance * (1.0 / count + 1.0 / older))
-        return abs(newest / count - past) > CHANGE_THRESHOLD_ERRORS * error
+        return abs(newest / count - past_mean) > CHANGE_THRESHOLD_ERRORS * error
 
     def _forget_before_change(self) -> None:
-        past = self.mean
-        kept = self._find_scores_after_change(past)
+        past_mean = self.mean
+        kept = self._find_scores_after_change(past_mean)
         self.ratings = ScoreHistogram()
         self.recent.clear()
         self.recent.extend(kept)
         for score in kept:
             self.ratings.add(score)
 
-    def _find_scores_after_change(self, past: float) -> list[float]:
+    def _find_scores_after_change(self, past_mean: float) -> list[float]:
         scores = list(self.recent)
 
         def contrast(start: int) -> float:
             count = len(scores) - start
-            return abs(sum(scores[start:]) / count - past) * sqrt(count)
+            return abs(sum(scores[start:]) / count - past_mean) * sqrt(count)
 
         start = max(range(len(scores) - MIN_RATINGS_AFTER_CHANGE + 1), key=contrast)
         return scores[start:]
--- a/packages/core/src/bergamotwood_core/frontier.py
+++ b/packages/core/src/bergamotwood_core/frontier.py
@@ -146,14 +146,14 @@
 def _list_acceptance(
     estimate: Estimate, parameters: OptionParameters
 ) -> list[tuple[float, float]]:
-    found = estimate.list_acceptance(THRESHOLDS, parameters.selection_bias)
+    acceptance = estimate.list_acceptance(THRESHOLDS, parameters.selection_bias)
     if parameters.uncertainty_penalty >= 0.0:
         loss = parameters.uncertainty_penalty * estimate.standard_error
-        return [(chance, quality - loss) for chance, quality in found]
+        return [(chance, quality - loss) for chance, quality in acceptance]
     bonus = -parameters.uncertainty_penalty / sqrt(estimate.weight)
     return [
         (min(chance + bonus * sqrt(chance * (1.0 - chance)), 1.0), quality)
-        for chance, quality in found
+        for chance, quality in acceptance
     ]
 
 
@@ -161,11 +161,11 @@
     for threshold, (chance, quality) in zip(
         THRESHOLDS, first.direct_acceptance, strict=True
     ):
-        refused = 1.0 - chance
+        rejected = 1.0 - chance
         yield Option(
             steps=(Step(first.version, True, threshold), Step(last.version)),
-            cost=first.rated_cost + refused * last.last_cost,
-            quality=chance * quality + refused * last.escalated_quality,
+            cost=first.rated_cost + rejected * last.last_cost,
+            quality=chance * quality + rejected * last.escalated_quality,
             ratings=1.0,
         )
 
@@ -176,9 +176,11 @@
     for index, threshold in enumerate(THRESHOLDS):
         chance, quality = first.direct_acceptance[index]
         next_chance, next_quality = second.escalated_acceptance[index]
-        refused = 1.0 - chance
-        rest = 1.0 - next_chance
-        later = next_chance * next_quality + rest * last.escalated_quality
+        rejected = 1.0 - chance
+        rejected_again = 1.0 - next_chance
+        escalated_quality = (
+            next_chance * next_quality + rejected_again * last.escalated_quality
+        )
         steps = (
             Step(first.version, True, threshold),
             Step(second.version, True, threshold),
@@ -187,9 +189,9 @@
         yield Option(
             steps=steps,
             cost=first.rated_cost
-            + refused * (second.rated_cost + rest * last.last_cost),
-            quality=chance * quality + refused * later,
-            ratings=1.0 + refused,
+            + rejected * (second.rated_cost + rejected_again * last.last_cost),
+            quality=chance * quality + rejected * escalated_quality,
+            ratings=1.0 + rejected,
         )
 
 
--- a/packages/core/src/bergamotwood_core/placement.py
+++ b/packages/core/src/bergamotwood_core/placement.py
@@ -119,8 +119,8 @@
         Load as a fraction of capacity.
     """
     announcement = endpoint.announcement
-    since = endpoint.outstanding - endpoint.outstanding_at_report
-    running = max(announcement.load + since, endpoint.outstanding)
+    net_sent_requests = endpoint.outstanding - endpoint.outstanding_at_report
+    running = max(announcement.load + net_sent_requests, endpoint.outstanding)
     return (running + 1.0) / announcement.capacity
 
 
@@ -131,12 +131,14 @@
     name = requirements.target.name
     near = (requirements.data_centre,)
     yield find_pool(tables, PoolKey(name, near))
-    others = tuple(
-        place for place in requirements.nearby if place != requirements.data_centre
+    nearby = tuple(
+        data_centre
+        for data_centre in requirements.nearby
+        if data_centre != requirements.data_centre
     )
-    if others:
-        yield find_pool(tables, PoolKey(name, others))
-    yield find_pool(tables, PoolKey(name, near + others, elsewhere=True))
+    if nearby:
+        yield find_pool(tables, PoolKey(name, nearby))
+    yield find_pool(tables, PoolKey(name, near + nearby, elsewhere=True))
 
 
 def _should_spill_over(candidate: Endpoint, best: Endpoint) -> bool:
@@ -207,21 +209,21 @@
 ) -> Endpoint | None:
     """Choose the better of two random eligible endpoints."""
     size = len(pool.endpoints)
-    drawn: list[Endpoint] = []
+    candidates: list[Endpoint] = []
     for _ in range(MAX_DRAWS if size else 0):
         endpoint = tables.endpoints[pool.endpoints[int(rng.random() * size)]]
-        if drawn and endpoint is drawn[0]:
+        if candidates and endpoint is candidates[0]:
             continue
         if _is_eligible(endpoint, requirements, now):
-            drawn.append(endpoint)
-        if len(drawn) == 2:
+            candidates.append(endpoint)
+        if len(candidates) == 2:
             break
-    if not drawn:
+    if not candidates:
         members = (tables.endpoints[id_] for id_ in pool.endpoints)
-        drawn = [
+        candidates = [
             member for member in members if _is_eligible(member, requirements, now)
         ]
-    return min(drawn, key=_score, default=None)
+    return min(candidates, key=_score, default=None)
 
 
 def _choose_ejected(
--- a/packages/core/src/bergamotwood_core/segment.py
+++ b/packages/core/src/bergamotwood_core/segment.py
@@ -58,12 +58,12 @@
         The saving is a fraction of the cost; the version is None if none can save
         anything.
         """
-        best, most = None, 0.0
+        best, largest_saving = None, 0.0
         for candidate in self.exploration_candidates:
             saving = self._estimate_saving(candidate)
-            if saving > most:
-                best, most = candidate, saving
-        return best, most
+            if saving > largest_saving:
+                best, largest_saving = candidate, saving
+        return best, largest_saving
 
     def _estimate_saving(self, candidate: ExplorationCandidate) -> float:
         mix = self.mix
@@ -72,9 +72,11 @@
         if candidate.version in (mix.low.steps[0].version, mix.high.steps[0].version):
             return 0.0
         gain = mix.high.quality - mix.low.quality
-        place = min((candidate.quality - mix.low.quality) / gain, 1.0) if gain else 0.0
-        replaced = mix.low.cost + place * (mix.high.cost - mix.low.cost)
-        return 1.0 - candidate.cost / replaced if replaced else 0.0
+        position = (
+            min((candidate.quality - mix.low.quality) / gain, 1.0) if gain else 0.0
+        )
+        replaced_cost = mix.low.cost + position * (mix.high.cost - mix.low.cost)
+        return 1.0 - candidate.cost / replaced_cost if replaced_cost else 0.0
 
     def choose_rated_option(self) -> Option:
         """Choose an option of the mix; each is chosen in proportion to its share."""
