--- a/packages/daemon/src/bergamotwood_daemon/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/entry.py
@@ -55,7 +55,7 @@
         Non-idempotent requests.
     policy : CascadePolicy
         Plans cascades.
-    admission : Admission
+    admission : AdmissionController
         Fair shares and shedding.
     outcomes : OutcomeCounter
         Evidence on roll-outs.
