--- a/packages/core/src/bergamotwood_core/cascade.py
+++ b/packages/core/src/bergamotwood_core/cascade.py
@@ -56,6 +56,7 @@
 SAMPLE_BUDGET_SHARE = 0.12
 # Share of rated answers that are rated a second time to estimate selection bias.
 REPEAT_RATING_SHARE = 0.05
+# Maximum number of quality estimates, and of usage averages.
 MAX_ESTIMATES = 4_096
 MAX_WORKSPACES = 1_024
 # Fill level of the rating budget above which ratings may exceed the refill rate.
