--- a/packages/daemon/src/bergamotwood_daemon/billing.py
+++ b/packages/daemon/src/bergamotwood_daemon/billing.py
@@ -1,4 +1,4 @@
-"""Bills of requests: made once, committed before the end of the answer."""
+"""Makes the bill of a request and commits it before the answer ends."""
 
 from bergamotwood_core.errors import Code, IdempotencyError, ReplicationError
 from bergamotwood_core.ids import IdempotencyKey
@@ -15,15 +15,15 @@
 from bergamotwood_daemon.tracing import Trace
 
 _REFUSALS = {
-    BillOutcome.CONFLICT: (Code.KEY_CONFLICT, "its key stands for another request"),
-    BillOutcome.EXPIRED: (Code.KEY_EXPIRED, "its key is too old"),
-    BillOutcome.FULL: (Code.LEDGER_UNAVAILABLE, "the ledger has no room for its key"),
-    BillOutcome.INVALID: (Code.INTERNAL, "the ledger refused it"),
+    BillOutcome.CONFLICT: (Code.KEY_CONFLICT, "its key was used for another request"),
+    BillOutcome.EXPIRED: (Code.KEY_EXPIRED, "its key has expired"),
+    BillOutcome.FULL: (Code.LEDGER_UNAVAILABLE, "the ledger cannot store more keys"),
+    BillOutcome.INVALID: (Code.INTERNAL, "the ledger rejected it"),
 }
 
 
 def make_bill(work: Work, key: IdempotencyKey | None, digest: str) -> Bill:
-    """Make the bill of a request from all of its attempts."""
+    """Make the bill of a request, which covers all of its attempts."""
     return Bill(
         request=work.id,
         workspace=work.workspace.key,
@@ -40,14 +40,14 @@
     Raises
     ------
     IdempotencyError
-        The ledger did not confirm it, or refused it.
+        When the ledger did not confirm the bill, or rejected it.
     """
     command = encode_command(RecordBill(bill))
     span = trace.open_span("bill", request=bill.request, cost=bill.cost)
     try:
         reply = entry.ledger.propose(command, entry.settings.timeouts.ledger)
     except ReplicationError as error:
-        # The bill may still commit, but its request has failed.
+        # The request has failed, but its bill may still be committed.
         entry.claims.settle(VoidBill(bill))
         raise IdempotencyError(
             "the ledger did not confirm the bill",
--- a/packages/daemon/src/bergamotwood_daemon/boot.py
+++ b/packages/daemon/src/bergamotwood_daemon/boot.py
@@ -1,9 +1,9 @@
-"""Start of the daemon: gevent takes over blocking calls before other imports."""
+"""Entry point of the daemon, which patches blocking calls before other imports."""
 
 from gevent import get_hub, monkey
 
-# gRPC holds a thread of the hub's pool for each call that waits; the pool's
-# usual ten are all held by long polls and calls to silent peers.
+# gRPC occupies a thread of the hub's pool for each pending call. Long polls and
+# calls to unresponsive peers would occupy all of the default ten.
 MAX_POOL_THREADS = 256
 
 
--- a/packages/daemon/src/bergamotwood_daemon/clock.py
+++ b/packages/daemon/src/bergamotwood_daemon/clock.py
@@ -6,5 +6,5 @@
 
 
 def read_clock() -> Seconds:
-    """Return seconds since boot, counted also while the machine sleeps."""
+    """Return seconds since boot, including the time that the machine was suspended."""
     return Seconds(clock_gettime(CLOCK_BOOTTIME))
--- a/packages/daemon/src/bergamotwood_daemon/command.py
+++ b/packages/daemon/src/bergamotwood_daemon/command.py
@@ -21,13 +21,13 @@
 @group()
 @version_option(package_name="bergamotwood-daemon")
 def main() -> None:
-    """Run the daemon of an entry instance."""
+    """Run a daemon or check its settings."""
 
 
 @main.command()
 @argument("file", type=SETTINGS_PATH_TYPE)
 def check(file: Path) -> None:
-    """Check a settings file and say every fault."""
+    """Check a settings file and print every fault."""
     _load(file)
     echo(f"{file}: valid")
 
@@ -35,7 +35,7 @@
 @main.command()
 @argument("file", type=SETTINGS_PATH_TYPE)
 def run(file: Path) -> None:
-    """Run with a settings file until SIGTERM."""
+    """Run a daemon with a settings file until SIGTERM."""
     settings = _load(file)
     open_log()
     daemon = Daemon(settings)
@@ -57,7 +57,7 @@
 
 
 def _handle_stop_signal(daemon: Daemon) -> None:
-    """Drain at the first signal; cut at the second."""
+    """Drain at the first signal; exit immediately at the second."""
     if daemon.entry.draining:
         exit_process(EXIT_FORCED)
     daemon.drain()
--- a/packages/daemon/src/bergamotwood_daemon/connection.py
+++ b/packages/daemon/src/bergamotwood_daemon/connection.py
@@ -1,4 +1,4 @@
-"""Connections of callers: how long a silent one is kept."""
+"""Connections of callers, with a timeout for idle ones."""
 
 from gevent.pywsgi import WSGIHandler
 
@@ -6,10 +6,10 @@
 
 
 class CallerConnectionHandler(WSGIHandler):
-    """Serves one connection, and drops it when the caller stays silent.
+    """Serves one connection and closes it when the caller is idle.
 
-    The bound holds for the wait for a request and for a caller that takes
-    nothing of an answer, so that a connection lost on the way holds no slot.
+    The timeout applies while a request is awaited and while a caller reads nothing
+    of an answer, so that a broken connection does not occupy a slot.
     """
 
     def handle(self) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/controlfeed.py
+++ b/packages/daemon/src/bergamotwood_daemon/controlfeed.py
@@ -1,4 +1,4 @@
-"""Feed of applied control commands, from which entries follow the log."""
+"""Feed of applied control commands, through which entries follow the log."""
 
 from collections import deque
 
@@ -10,14 +10,14 @@
 
 
 class ControlFeed:
-    """A control state machine that keeps its newest commands for followers.
+    """A control state machine that keeps its newest commands for entries.
 
     Attributes
     ----------
     machine : ControlMachine
-        The state that the commands lead to.
+        The state machine that the commands are applied to.
     applied : LogIndex
-        Highest index applied; it never falls.
+        Highest index applied; it never decreases.
     """
 
     def __init__(self, machine: ControlMachine) -> None:
@@ -27,7 +27,7 @@
         self._compacted_index = LogIndex(0)
 
     def apply(self, index: LogIndex, command: bytes) -> bytes:
-        """Apply a command and keep it."""
+        """Apply a command and keep it for entries."""
         answer = self.machine.apply(index, command)
         if len(self._changes) == MAX_KEPT_CHANGES:
             self._compacted_index = self._changes[0].index
@@ -40,14 +40,14 @@
         return self.machine.snapshot()
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state; earlier commands are no longer at hand."""
+        """Replace the state and discard the commands kept so far."""
         self.machine.restore(snapshot)
         self._changes.clear()
         self.applied = self.machine.tables.index
         self._compacted_index = self.applied
 
     def list_changes(self, after: LogIndex) -> tuple[LogChange, ...] | None:
-        """Return the commands after an index, or None where some are gone."""
+        """Return the commands after an index, or None if some are no longer kept."""
         if after < self._compacted_index:
             return None
         return tuple(change for change in self._changes if change.index > after)
--- a/packages/daemon/src/bergamotwood_daemon/controlreplica.py
+++ b/packages/daemon/src/bergamotwood_daemon/controlreplica.py
@@ -1,4 +1,4 @@
-"""The control role: log groups, their feeds, and answers to other daemons."""
+"""The control role: log groups, change feeds and handlers for calls of peers."""
 
 from collections.abc import Callable
 from random import Random
@@ -44,22 +44,22 @@
 
 
 class ControlReplica:
-    """The log groups of a control instance.
+    """The control role of one instance.
 
     Parameters
     ----------
     control_group, ledger_group : LogGroup
-        The two groups.
+        This instance's replicas of the two log groups.
     feed : ControlFeed
         State machine of the control group.
     ledger_machine : LedgerMachine
         State machine of the ledger group.
     directory : DirectoryFeed
-        Soft state of this replica.
+        Soft state: endpoints, entries and ratings.
     peers : dict of InstanceId to PeerChannel
-        The other control replicas.
+        Channels to the other control replicas.
     clock : callable
-        Gives the time.
+        Returns the current time.
     rng : Random
         Source of jitter.
     """
@@ -91,30 +91,30 @@
 
     @property
     def is_voting(self) -> bool:
-        """Whether this replica counts for majorities in every group."""
+        """Whether this replica is a voting member of every group."""
         return all(group.is_voter for group in self._groups.values())
 
     @property
     def control_machine(self) -> ControlMachine:
-        """State of the control group at this replica."""
+        """State machine of the control group at this replica."""
         return self._feed.machine
 
     def start(self) -> None:
-        """Start the groups and the relaying of soft state."""
+        """Start the log groups and the relays of soft state."""
         for group in self._groups.values():
             group.start()
         for relay in self._relays:
             relay.start()
 
     def stop(self) -> None:
-        """Hand leadership over and stop."""
+        """Transfer leadership and stop."""
         for group in self._groups.values():
             group.stop(handover=True)
         for relay in self._relays:
             relay.stop()
 
     def handle_replicate(self, body: bytes) -> bytes:
-        """Give replication messages to their groups."""
+        """Pass replication messages to their groups."""
         for envelope in REPLICATE_BATCH.decode(body).envelopes:
             group = self._groups.get(envelope.group)
             if group is not None:
@@ -122,7 +122,7 @@
         return b""
 
     def handle_propose(self, body: bytes) -> bytes:
-        """Submit a command to a group that this replica may lead."""
+        """Propose a command to a group, if this replica leads it."""
         request = PROPOSE_REQUEST.decode(body)
         group = self._groups[request.group]
         return ENCODER.encode(
@@ -132,7 +132,7 @@
         )
 
     def handle_query(self, body: bytes) -> bytes:
-        """Answer a query from a leader's confirmed state."""
+        """Answer a query from confirmed state, if this replica leads the group."""
         request = QUERY_REQUEST.decode(body)
         group = self._groups[request.group]
 
@@ -143,14 +143,14 @@
         return ENCODER.encode(_run_and_reply(read))
 
     def handle_poll(self, body: bytes) -> bytes:
-        """Take reports; answer with news, at once or after a short wait."""
+        """Record an entry's reports; return changes, after a short wait if needed."""
         request = POLL_REQUEST.decode(body)
         self._record_reports(request)
         self._wait_for_changes(request)
         return ENCODER.encode(self._build_reply(request))
 
     def expire(self, now: Seconds) -> None:
-        """Run the tick of the directory."""
+        """Remove expired endpoints and entries from the directory."""
         self.directory.expire(now)
 
     def _run_query(self, query: Query) -> object:
--- a/packages/daemon/src/bergamotwood_daemon/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""A daemon: holds the settings and hands out all of its parts."""
+"""Builds a daemon from its settings, runs it and shuts it down."""
 
 from random import Random, SystemRandom
 from time import time_ns
@@ -103,7 +103,7 @@
         )
 
     def start(self) -> None:
-        """Listen and begin to follow the control log."""
+        """Start listening and following the control log."""
         settings = self.settings
         peer = settings.peer_listen
         if self.control_replica is not None:
@@ -121,18 +121,18 @@
         )
 
     def drain(self) -> None:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
         if not self.entry.draining:
             self.entry.draining = True
             log_event("daemon", "Draining.")
             spawn(self._shut_down)
 
     def wait(self) -> None:
-        """Wait until a graceful shutdown has ended."""
+        """Wait until the graceful shutdown is complete."""
         self._stopped.wait()
 
     def _shut_down(self) -> None:
-        """Leave the addresses, serve on, then finish what is in flight."""
+        """Report as draining, keep serving for a while, finish requests, then stop."""
         self.entry.watch.report_now()
         sleep(self.settings.timeouts.drain)
         self._application.draining = True
@@ -150,12 +150,12 @@
         self._stopped.set()
 
     def _has_unfinished_work(self) -> bool:
-        """Whether a request runs, or its end is not committed yet."""
+        """Return whether a request runs, or its outcome is not committed yet."""
         claims = self.entry.claims
         return bool(self._application.active or claims.running or claims.settling)
 
     def _make_channels(self) -> dict[InstanceId, PeerChannel]:
-        """Make channels of their own for one purpose, this instance's first."""
+        """Make a separate set of channels to the replicas, this instance's first."""
         addresses = sorted(
             self.settings.replicas, key=lambda replica: replica.id != self._instance_id
         )
@@ -350,7 +350,7 @@
 
 
 class _NoControlRole:
-    """What an instance without the control role answers to its peers."""
+    """Handles calls of peers at an instance without the control role."""
 
     def handle_replicate(self, body: bytes) -> bytes:
         """Ignore replication messages."""
--- a/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
+++ b/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
@@ -1,4 +1,4 @@
-"""Feed of directory changes, numbered so that a watcher gets only what is new."""
+"""Feed of numbered directory changes, of which a watcher gets only the new ones."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -16,13 +16,13 @@
 from bergamotwood_core.tables import DirectoryTables
 
 MAX_KEPT_EVIDENCE = 256
-# Time between two reports of one entry that watchers get, unless its state changed.
+# Minimum time between two reports of an entry for watchers, unless its state changed.
 ENTRY_REPORT_INTERVAL_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChanges:
-    """Changes after a cursor, and the cursor that they lead to."""
+    """Changes after a cursor, and the cursor after these changes."""
 
     cursor: int
     announcements: tuple[Announcement, ...]
@@ -43,7 +43,7 @@
     Parameters
     ----------
     boot : str
-        Names this start of the replica; cursors of another start are void.
+        Identifies this start of the replica; cursors of another start are invalid.
     """
 
     def __init__(self, boot: str) -> None:
@@ -59,7 +59,7 @@
         self._ratings: deque[_NumberedEvidence] = deque(maxlen=MAX_KEPT_EVIDENCE)
 
     def record_announcement(self, announcement: Announcement, now: Seconds) -> bool:
-        """Merge an announcement; return whether it was news."""
+        """Merge an announcement; return whether it was new."""
         known = self.tables.endpoints.get(announcement.id)
         before = known.announcement if known is not None else None
         if not merge_announcement(self.tables, announcement, now):
@@ -72,7 +72,7 @@
         return True
 
     def record_report(self, report: EntryReport, now: Seconds) -> bool:
-        """Merge an entry's report; return whether it was news."""
+        """Merge an entry's report; return whether it was new."""
         known = self.tables.entries.get(report.id)
         before = known.report if known is not None else None
         if not merge_report(self.tables, report, now):
@@ -89,7 +89,7 @@
         return True
 
     def record_ratings(self, evidence: Evidence) -> bool:
-        """Keep ratings for the watchers; return whether they were news."""
+        """Keep evidence from ratings for watchers; return whether it was new."""
         if not self._evidence_filter.accept(evidence.source, evidence.sequence):
             return False
         self.cursor += 1
@@ -97,7 +97,7 @@
         return True
 
     def list_changes(self, boot: str, cursor: int) -> DirectoryChanges:
-        """Return what a watcher with this cursor has not seen."""
+        """Return the changes after a watcher's cursor."""
         if boot != self.boot:
             cursor = 0
         endpoints = self.tables.endpoints
@@ -125,7 +125,7 @@
         )
 
     def expire(self, now: Seconds) -> None:
-        """Drop whoever has not been heard for too long."""
+        """Remove endpoints and entries that have not reported for too long."""
         expire_endpoints(self.tables, now)
         expire_entries(self.tables, now)
         for id in self._endpoint_cursors.keys() - self.tables.endpoints.keys():
--- a/packages/daemon/src/bergamotwood_daemon/discovery.py
+++ b/packages/daemon/src/bergamotwood_daemon/discovery.py
@@ -1,4 +1,4 @@
-"""HTTP for endpoints that announce themselves and callers that ask for entries."""
+"""HTTP handlers for announcements of endpoints and for the list of entries."""
 
 from msgspec import Struct
 
@@ -14,12 +14,12 @@
 from bergamotwood_daemon.web import Response, WebRequest, answer_json
 
 MAX_ADDRESSES = 16
-# Index distance from which an entry's configuration is not fresh.
+# Entries that lag further behind in the control log are listed after the others.
 MAX_INDEX_LAG = 64
 
 
 class AnnouncementReply(Struct):
-    """What an endpoint is told: whether its word was news."""
+    """Reply to an endpoint: whether its announcement was new."""
 
     accepted: bool
 
@@ -33,19 +33,19 @@
 
 
 class AddressList(Struct):
-    """Entries to use, the best first, and how long to keep the answer."""
+    """Entries to use, the best first, and how long the list may be cached."""
 
     addresses: list[EntryAddress]
     ttl_seconds: int
 
 
 class Discovery:
-    """Membership as one entry serves it.
+    """Serves the directory of one entry.
 
     Parameters
     ----------
     entry : Entry
-        Tables and settings.
+        The entry, with its tables and settings.
     """
 
     def __init__(self, entry: Entry) -> None:
@@ -53,7 +53,7 @@
         self._sequence = 0
 
     def record_announcement(self, request: WebRequest) -> Response:
-        """Take an endpoint's word on itself."""
+        """Record an endpoint's announcement."""
         announcement = decode_announcement(request.read_body())
         directory = self._entry.tables.directory
         previous_membership = directory.membership_version
@@ -64,7 +64,7 @@
         return answer_json(AnnouncementReply(is_new))
 
     def list_addresses(self, request: WebRequest) -> Response:
-        """Tell a caller which entries to use, and for how long."""
+        """Answer which entries a caller should use, and for how long."""
         near = request.read_parameter("near")
         directory = self._entry.tables.directory
         min_index = LogIndex(max(0, self._entry.watch.applied - MAX_INDEX_LAG))
@@ -86,7 +86,7 @@
         return Response(200, response.content_type, response.body, headers)
 
     def list_other_entries(self) -> tuple[str, ...]:
-        """List the addresses of the other entries that serve."""
+        """Return the addresses of the other entries that are serving."""
         return tuple(
             str(entry.report.address)
             for entry in self._entry.tables.directory.entries.values()
--- a/packages/daemon/src/bergamotwood_daemon/encryption.py
+++ b/packages/daemon/src/bergamotwood_daemon/encryption.py
@@ -1,4 +1,4 @@
-"""TLS: certificates from files, taken up again when the files change."""
+"""TLS with certificates from files, which are reloaded when they change."""
 
 from pathlib import Path
 
@@ -21,12 +21,12 @@
     Parameters
     ----------
     tls : Tls
-        The files.
+        Paths of the certificate files.
 
     Raises
     ------
     SettingsError
-        The files cannot be used.
+        When the files cannot be loaded.
     """
 
     def __init__(self, tls: Tls) -> None:
@@ -39,7 +39,10 @@
             raise SettingsError(f"tls: {error}") from error
 
     def reload_if_changed(self) -> bool:
-        """Take up changed files; a broken pair leaves the old one in use."""
+        """Load the files if they changed; return whether new ones were loaded.
+
+        Files that cannot be loaded leave the previous certificate in use.
+        """
         try:
             modification_times = _read_modification_times(self._tls)
             if modification_times == self._modification_times:
@@ -47,9 +50,9 @@
             self._modification_times = modification_times
             self._load()
         except (OSError, SSLError) as error:
-            log_event("tls", "Changed files not usable.", detail=str(error))
+            log_event("tls", "Cannot load changed files.", detail=str(error))
             return False
-        log_event("tls", "Files reloaded.")
+        log_event("tls", "Certificate files reloaded.")
         return True
 
     def _load(self) -> None:
@@ -65,7 +68,7 @@
     Parameters
     ----------
     tls : Tls
-        The files; both ends must be signed by the authority.
+        Paths of the files; the authority must have signed both certificates.
     """
 
     def __init__(self, tls: Tls) -> None:
@@ -81,7 +84,7 @@
         )
 
     def make_server_credentials(self) -> grpc.ServerCredentials:
-        """Make credentials that look for changed files at each handshake."""
+        """Make credentials that check for changed files at each handshake."""
         return grpc.dynamic_ssl_server_credentials(
             self._make_configuration(),
             self._fetch_configuration,
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -1,4 +1,4 @@
-"""A log group of this instance: the replica, its journal and its machine."""
+"""One replica of a log group: its input queue, journal and state machine."""
 
 from collections.abc import Callable
 from random import Random
@@ -35,8 +35,8 @@
 
 IDENTITY_BYTES = 8
 SESSION_BITS = 48
-# Pause between two tries to write to a disk that refuses, for instance a full
-# one: short beside an election, so that it is used again at once.
+# Pause between attempts to write to a failing disk, for instance a full one. Far
+# shorter than an election timeout, so that the replica resumes soon after recovery.
 DISK_RETRY_SECONDS = 0.1
 
 
@@ -46,17 +46,17 @@
     Parameters
     ----------
     name : str
-        Name of the group, also of its folder.
+        Name of the group and of its data folder.
     settings : GroupSettings
-        Its settings.
+        Settings of the group.
     machine : StateMachine
-        Receives the committed commands.
+        Applies the committed commands.
     transport : Transport
-        Carries its messages.
+        Sends messages to the other replicas.
     clock : Callable
-        Seconds on a clock that counts while the machine sleeps.
+        Returns seconds of a clock that also advances while the machine is suspended.
     rng : Random
-        Source of election delays.
+        Randomizes election timeouts.
     """
 
     def __init__(
@@ -85,51 +85,51 @@
         self._replica: Replica | None = None
         self._journal: Journal | None = None
         self._greenlets: list[Greenlet] = []
-        # A thread of its own: calls to silent peers fill the hub's pool.
+        # Its own thread, since calls to unresponsive peers can exhaust the hub's pool.
         self._disk_pool = ThreadPool(1)
 
     @property
     def leader(self) -> InstanceId | None:
-        """Instance that leads, None when unknown."""
+        """Instance that leads the group, or None when unknown."""
         return self._replica.leader if self._replica else None
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica is the leader, as far as it knows."""
         return self._replica is not None and self._replica.is_leader
 
     @property
     def term(self) -> Term:
-        """Newest term."""
+        """Newest term that this replica knows."""
         return self._replica.term if self._replica else Term(0)
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica counts for majorities."""
+        """Whether this replica is a voting member."""
         return self._replica is not None and self._replica.state.is_voter
 
     @property
     def membership(self) -> Membership:
-        """Newest membership."""
+        """Newest membership that this replica knows."""
         return self._replica.membership if self._replica else Membership(())
 
     @property
     def snapshot_index(self) -> LogIndex:
-        """Last entry in the newest snapshot."""
+        """Index of the last entry that the newest snapshot contains."""
         return self._journal.snapshot_index if self._journal else LogIndex(0)
 
     @property
     def log_bytes(self) -> int:
-        """Bytes of the log file."""
+        """Size of the log file in bytes."""
         return self._journal.size_bytes if self._journal else 0
 
     @property
     def queued_inputs(self) -> int:
-        """Messages and proposals that wait to be taken in."""
+        """Number of inputs in the queue."""
         return self._inbox.qsize()
 
     def start(self) -> None:
-        """Read the data folder and take part in the group.
+        """Load the data folder and start the replica.
 
         Raises
         ------
@@ -154,12 +154,12 @@
         self._greenlets = [spawn(self._run), spawn(self._run_timer)]
 
     def stop(self, handover: bool = True) -> None:
-        """Stop; a leader hands over first, when it can.
+        """Stop the replica; a leader first tries to transfer its leadership.
 
         Parameters
         ----------
         handover : bool
-            False to stop without a word to the others.
+            Whether to transfer leadership first.
         """
         if not self._is_running:
             return
@@ -173,12 +173,12 @@
         self._disk_pool.kill()
 
     def propose(self, command: bytes, timeout: float) -> bytes:
-        """Commit a command and return the machine's answer.
+        """Commit a command and return the state machine's answer.
 
         Parameters
         ----------
         command : bytes
-            For the machine.
+            Command for the state machine.
         timeout : float
             Seconds to wait.
 
@@ -187,8 +187,8 @@
         NotLeaderError
             When it is certain that the command will never be applied.
         ReplicationError
-            With the run state that is known: the command may be applied
-            later unless it is `NOT_RUN`.
+            When the command was rejected, or not confirmed in time. It may still
+            be applied unless `run` is `NOT_RUN`.
         """
         self._check_command(command)
         proposal = Proposal(command)
@@ -202,12 +202,14 @@
             raise ReplicationError(detail, run=run)
 
     def receive(self, body: bytes) -> None:
-        """Take in a message from another instance; never blocks.
+        """Queue a message from another instance; never blocks.
+
+        The message is dropped when the queue is full or the replica does not run.
 
         Raises
         ------
         ReplicationError
-            When the bytes hold no message.
+            When the message cannot be decoded.
         """
         full = self._inbox.qsize() >= self._settings.inbox_limit
         if full or not self._is_running or self.failure is not None:
@@ -221,48 +223,48 @@
         self._inbox.put(Received(message))
 
     def change_members(self, change: MembershipChange) -> None:
-        """Append a change of one member; for operators.
+        """Append a change of one member, requested by an operator.
 
         Raises
         ------
         NotLeaderError
-            When this replica cannot change members now.
+            When this replica cannot change the membership now.
         ValueError
-            When the change does not fit the members.
+            When the change is not valid for the current membership.
         """
         self._call_replica(lambda replica, now: replica.change_members(change, now))
 
     def measure_age(self, now: Seconds) -> float:
-        """Return seconds for which the applied state may be out of date.
+        """Return the maximum staleness of the applied state, in seconds.
 
-        All that was committed that long ago is applied here; `inf` when that
-        is not known of any time.
+        Everything that was committed before that time is applied here; `inf` when
+        no such time is known.
         """
         return now - self._confirmed_at
 
     def holds_lease(self, now: Seconds) -> bool:
-        """Whether this replica leads and no other can lead at this time."""
+        """Whether this replica leads and no other replica can lead at this time."""
         if self._replica is None or self.failure is not None:
             return False
         return self._replica.holds_lease(now)
 
     def build_fencing_token(self) -> FencingToken:
-        """Return the token for orders given now; meaningful under the lease."""
+        """Return the token for orders sent now; valid only while the lease is held."""
         return FencingToken(self.term, self.applied)
 
     def add_apply_callback(self, callback: Callable[[], None]) -> None:
-        """Call back after entries or a snapshot were applied; must not block."""
+        """Add a function to call after entries or a snapshot; it must not block."""
         self._callbacks.append(callback)
 
     def read_barrier(self, timeout: float) -> None:
-        """Wait until all that is committed now is applied here.
+        """Wait until everything committed before this call is applied here.
 
         Raises
         ------
         NotLeaderError
             When this replica does not lead.
         ReplicationError
-            When no majority confirms it in time.
+            When no majority confirms the leader in time, or the replica stops.
         """
         asked_at = self._clock()
         self._call_replica(lambda replica, now: replica.send_heartbeats(now))
@@ -284,13 +286,13 @@
         self._check_running()
         if len(command) > self._settings.command_bytes:
             raise ReplicationError(
-                f"{self.name}: command of {len(command)} bytes",
+                f"{self.name}: command of {len(command)} bytes is too large",
                 Code.BODY_TOO_LARGE,
                 Run.NOT_RUN,
             )
         if self._inbox.qsize() >= self._settings.inbox_limit:
             raise ReplicationError(
-                f"{self.name}: too many commands wait", Code.OVERLOADED, Run.NOT_RUN
+                f"{self.name}: input queue is full", Code.OVERLOADED, Run.NOT_RUN
             )
 
     def _transfer_leadership(self) -> None:
@@ -404,7 +406,7 @@
         written = self.applied - journal.snapshot_index
         if written < self._settings.snapshot_entries:
             return
-        # A large state is not written again for each few changes of it.
+        # Avoids rewriting a large snapshot after only a few changes.
         if journal.size_bytes < journal.snapshot_bytes:
             return
         data = self._machine.snapshot()
@@ -418,9 +420,9 @@
         self._retry_on_disk_error(self._journal.save, records)
 
     def _retry_on_disk_error(self, function: Callable, *arguments: object) -> None:
-        """Write to the disk until it takes it, as if it were only slow.
+        """Repeat a disk write until it succeeds, as if the disk were only slow.
 
-        Meanwhile this replica says nothing, so that the others go on without it.
+        Meanwhile this replica sends nothing, so that the others continue without it.
         """
         failed_at: Seconds | None = None
         while True:
@@ -432,11 +434,13 @@
                     raise
                 if failed_at is None:
                     failed_at = self._clock()
-                    log_event(self.name, "Disk lost.", reason=str(error))
+                    log_event(
+                        self.name, "Disk write failed; retrying.", reason=str(error)
+                    )
                 sleep(DISK_RETRY_SECONDS)
         if failed_at is not None:
             seconds = round(self._clock() - failed_at, 2)
-            log_event(self.name, "Disk regained.", seconds=seconds)
+            log_event(self.name, "Disk writes succeed again.", seconds=seconds)
 
     def _notify_progress(self) -> None:
         self._progress.set()
--- a/packages/daemon/src/bergamotwood_daemon/groupinput.py
+++ b/packages/daemon/src/bergamotwood_daemon/groupinput.py
@@ -1,4 +1,4 @@
-"""What the greenlet of a log group takes in."""
+"""Inputs of the greenlet that runs a log group."""
 
 from collections.abc import Callable
 
@@ -11,12 +11,12 @@
 
 
 class Proposal:
-    """A command that waits to be appended, then to be applied.
+    """A command that waits to be appended to the log and then applied.
 
     Parameters
     ----------
     command : bytes
-        For the machine.
+        Command for the state machine.
     """
 
     __slots__ = ("command", "result", "appended", "abandoned")
@@ -35,18 +35,18 @@
 
 
 class Tick(Struct, frozen=True):
-    """Time has passed."""
+    """A step of the clock, for elections and heartbeats."""
 
 
 class Call(Struct, frozen=True):
-    """Something to do on the replica between two batches."""
+    """A function to run on the replica, and where its result goes."""
 
     action: Callable[[Replica, Seconds], object]
     result: AsyncResult
 
 
 class Stop(Struct, frozen=True):
-    """The end of the greenlet."""
+    """Wakes the greenlet so that it ends."""
 
 
 Input = Proposal | Received | Tick | Call | Stop
--- a/packages/daemon/src/bergamotwood_daemon/groupsettings.py
+++ b/packages/daemon/src/bergamotwood_daemon/groupsettings.py
@@ -1,4 +1,4 @@
-"""Settings of a log group, and what carries its messages."""
+"""Settings of a log group, and the interface of its message transport."""
 
 from pathlib import Path
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 
 class Transport(Protocol):
-    """Carries messages to other instances."""
+    """Sends messages to other instances."""
 
     def send(self, target: InstanceId, body: bytes) -> None:
         """Send without blocking; the message may be lost."""
@@ -25,24 +25,24 @@
     instance : InstanceId
         This instance.
     initial_voters : tuple of InstanceId
-        Instances of the group, in the same order on each.
+        Instances that vote at first, in the same order on each instance.
     folder : Path
-        Where the folders of the groups are.
+        Parent of the groups' data folders.
     tick_seconds, heartbeat_seconds : float
         Time between ticks, and between heartbeats.
     election_seconds : float
-        Least time without a leader before an election.
+        Minimum time without a leader before an election.
     lease_seconds : float
-        Less than `election_seconds`.
+        Duration of the leader lease; less than `election_seconds`.
     snapshot_entries : int
-        Entries after which a snapshot replaces the log on disk, once the log
-        is as large as the snapshot before.
+        Number of entries after which a snapshot replaces the log on disk, once the
+        log is as large as the previous snapshot.
     kept_entries : int
-        Entries before a snapshot that stay in memory, for followers.
+        Number of entries before a snapshot that stay in memory, for followers.
     inbox_limit : int
-        Messages and proposals that wait at once.
+        Maximum number of queued inputs.
     command_bytes : int
-        Most bytes of one command.
+        Maximum size of a command in bytes.
     forms_group, open_membership : bool
         As in `ReplicaSettings`.
     """
@@ -62,7 +62,7 @@
     open_membership: bool = False
 
     def build_replica_settings(self) -> ReplicaSettings:
-        """Return the settings of the pure replica."""
+        """Return the settings of the core replica, which does no input or output."""
         return ReplicaSettings(
             self.instance,
             self.initial_voters,
--- a/packages/daemon/src/bergamotwood_daemon/journal.py
+++ b/packages/daemon/src/bergamotwood_daemon/journal.py
@@ -1,9 +1,9 @@
-"""A replica's data folder: its log, its newest snapshot, its identity.
+"""Durable storage of one replica: its log, newest snapshot and identity.
 
-Each write to the log is one frame of records, synced before the next one is
-written. So a crash can damage only the last frame: damage at the end is cut
-off, damage with a whole frame after it is an error. A last frame that was
-synced and decayed later cannot be told from one cut off by a crash.
+Each write to the log appends one frame of records, which is synced before the
+next one is written, so a crash can damage only the last frame. Damage at the end
+is truncated; damage that a complete frame follows is an error. A last frame that
+was corrupted after its sync cannot be distinguished from one cut short by a crash.
 """
 
 from fcntl import LOCK_EX, LOCK_NB, flock
@@ -49,7 +49,7 @@
 TEMPORARY_SUFFIX = ".new"
 FILE_MODE = 0o600
 MAGIC = b"BWlg"
-# Magic, checksum of all that follows it, length of the payload in bytes.
+# Magic number, checksum of all that follows, length of the payload in bytes.
 HEADER = Layout(">4sII")
 LENGTH = Layout(">I")
 
@@ -59,19 +59,19 @@
 
 
 class Journal:
-    """The open data folder of one replica; its calls block on the disk.
+    """The open, locked data folder of one replica; calls block on the disk.
 
     Parameters
     ----------
     folder : Path
-        Data folder, made with a new identity when it holds none.
+        Data folder; an empty one is initialized with a new identity.
     new_identity : ReplicaId
         Identity for a new folder; must differ from any used before.
 
     Raises
     ------
     LogCorruptError
-        When the log or the snapshot is damaged before its tail.
+        When the snapshot, or the log before its last frame, is damaged.
     SettingsError
         When another process uses the folder.
     """
@@ -89,24 +89,24 @@
 
     @property
     def snapshot_index(self) -> LogIndex:
-        """Last entry in the newest snapshot."""
+        """Index of the last entry that the newest snapshot contains."""
         return self._snapshot_index
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the log file."""
+        """Size of the log file in bytes."""
         return self._size
 
     @property
     def snapshot_bytes(self) -> int:
-        """Bytes of the snapshot file."""
+        """Size of the snapshot file in bytes."""
         return self._snapshot_bytes
 
     def save(self, records: list[Record | Snapshot]) -> None:
         """Write records and sync them, in order.
 
-        After an `OSError` the same records may be saved again: those that were
-        written twice mean the same.
+        After an `OSError` the same records may be saved again: writing a record
+        twice has no further effect.
         """
         batch: list[Record] = []
         for record in records:
@@ -119,12 +119,12 @@
         self._write(batch)
 
     def compact(self, snapshot: Snapshot, tail: tuple[Entry, ...]) -> None:
-        """Save a snapshot and begin the log anew after it.
+        """Save a snapshot and rewrite the log to begin after it.
 
         Parameters
         ----------
         snapshot : Snapshot
-            Replaces the one before.
+            Replaces the previous one.
         tail : tuple of Entry
             Saved entries that follow it.
         """
@@ -135,7 +135,7 @@
         self._rewrite_log(tail)
 
     def close(self) -> None:
-        """Let go of the folder."""
+        """Close the files and release the lock on the folder."""
         for file in (self._file, self._lock):
             if file >= 0:
                 close_file(file)
@@ -149,7 +149,9 @@
         self._snapshot_index = snapshot.index if snapshot else LogIndex(0)
         if not (self._folder / LOG_NAME).exists():
             if snapshot is not None:
-                raise LogCorruptError(f"{self._folder}: snapshot without a log")
+                raise LogCorruptError(
+                    f"{self._folder}: snapshot exists but log is missing"
+                )
             self._rewrite_log(())
         entries = self._read_log()
         kept = tuple(entry for entry in entries if entry.index > self._snapshot_index)
@@ -198,7 +200,7 @@
                 self._replay_record(record, entries)
             offset += HEADER.size + len(payload)
         if offset == 0:
-            raise LogCorruptError(f"{path} has no whole frame")
+            raise LogCorruptError(f"{path} has no complete frame")
         self._size = offset
         self._file = open_file(path, O_WRONLY | O_APPEND)
         if offset < len(data):
@@ -248,7 +250,7 @@
             _write_all(self._file, frame)
             fsync(self._file)
         except OSError:
-            # A part of a frame must not stand before the next one.
+            # The next frame must not follow a partial one.
             ftruncate(self._file, self._size)
             raise
         self._size += len(frame)
--- a/packages/daemon/src/bergamotwood_daemon/log.py
+++ b/packages/daemon/src/bergamotwood_daemon/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: short sentences with a prefix for each part."""
+"""Structured logs: short messages, prefixed with the name of a component."""
 
 from sys import stdout
 
@@ -16,17 +16,17 @@
 
 
 def close_log() -> None:
-    """Write the last lines before the process ends."""
+    """Write the remaining lines and stop."""
     _WRITER.close()
 
 
 def count_dropped_lines() -> int:
-    """Return how many lines were dropped as the reader was too slow."""
+    """Return how many lines were dropped because the reader was too slow."""
     return _WRITER.dropped
 
 
 def log_event(component: str, message: str, **fields: object) -> None:
-    """Log one event of a part of the daemon."""
+    """Log one event of a component of the daemon."""
     log_message(message_type=component, message=f"{component}: {message}", **fields)
 
 
--- a/packages/daemon/src/bergamotwood_daemon/logwriter.py
+++ b/packages/daemon/src/bergamotwood_daemon/logwriter.py
@@ -1,43 +1,43 @@
-"""Writes log lines beside the work: a bounded queue and a thread that drains it.
+"""Writes log lines from a bounded queue in a separate thread.
 
-A reader of standard output that is slow, or gone, never holds up requests. When the
-queue fills, routine lines are dropped first; failures and changes of belief go on
-until it is full. What was dropped is counted and said in a line.
+A reader of standard output that is slow, or gone, never blocks requests. When the
+queue fills, routine lines are dropped first; failures and state changes are still
+queued until it is full. The number of dropped lines is logged.
 """
 
-# The C queue: gevent's would switch greenlets, and the thread is a real one.
+# The C queue, since a native thread reads it: gevent's would switch greenlets.
 from _queue import Empty, SimpleQueue
 from typing import BinaryIO
 
 from gevent import get_hub
 from msgspec import json
 
-# Lines that wait: some seconds of the heaviest day at 50 lines a second.
+# Maximum number of queued lines: over a minute at 50 lines a second, a heavy load.
 MAX_QUEUED_LINES = 4_096
-# Lines from which routine ones are dropped, so that others find room.
+# Queue length at which routine lines are dropped, to leave room for others.
 MAX_QUEUED_ROUTINE_LINES = MAX_QUEUED_LINES // 2
-# Messages of ordinary work, which come with every request.
+# Messages of normal operation, which are logged for every request.
 ROUTINE_MESSAGES = frozenset(
     ("request: Answered.", "attempt: Answer dropped for a larger model.")
 )
-# Time that the end of a process waits for the last lines, in seconds.
+# How long shutdown waits for the last lines to be written.
 CLOSE_TIMEOUT_SECONDS = 0.5
 
 Message = dict[str, object]
 
 
 class LogWriter:
-    """A destination of log messages.
+    """A destination of log messages, which writes them as JSON lines.
 
     Parameters
     ----------
     stream : BinaryIO
-        Where the lines go.
+        Stream that the lines are written to.
 
     Attributes
     ----------
     dropped : int
-        Lines that were dropped.
+        Number of dropped lines.
     """
 
     def __init__(self, stream: BinaryIO) -> None:
@@ -48,11 +48,11 @@
         self._thread = None
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the writer thread."""
         self._thread = get_hub().threadpool.spawn(self._run)
 
     def __call__(self, message: Message) -> None:
-        """Take a message; never blocks."""
+        """Queue a message, or drop it when the queue is full; never blocks."""
         waiting = self._queue.qsize()
         is_routine = message.get("message") in ROUTINE_MESSAGES
         if waiting >= (MAX_QUEUED_ROUTINE_LINES if is_routine else MAX_QUEUED_LINES):
@@ -61,7 +61,7 @@
         self._queue.put(message)
 
     def close(self) -> None:
-        """Write what waits, for a short time, and end."""
+        """Write the queued lines, for a short time at most, and stop."""
         if self._thread is not None:
             self._queue.put(None)
             self._thread.wait(CLOSE_TIMEOUT_SECONDS)
@@ -73,7 +73,7 @@
                 self._stream.write(b"".join(lines))
                 self._stream.flush()
             except OSError:
-                # Nobody reads any more: there is no place left to say so.
+                # The stream has no reader any more, so this cannot be logged either.
                 self.dropped += len(lines)
             if is_last:
                 return
--- a/packages/daemon/src/bergamotwood_daemon/metrics.py
+++ b/packages/daemon/src/bergamotwood_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a daemon, in the Prometheus text form."""
+"""Metrics of a daemon, in the Prometheus text format."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,21 +15,21 @@
 
 @dataclass(frozen=True)
 class Reading:
-    """A gauge and where its value is read."""
+    """A gauge and the function that reads its value."""
 
     gauge: Gauge
     read: Callable[[], float]
 
 
 class Metrics:
-    """Gauges over the tables, read when they are asked for.
+    """Gauges whose values are read from the tables at each scrape.
 
     Parameters
     ----------
     entry : Entry
-        The entry's tables.
+        The entry, with its tables.
     control_replica : ControlReplica or None
-        The control role, where the instance has it.
+        The control role, if the instance has it.
     """
 
     def __init__(self, entry: Entry, control_replica: ControlReplica | None) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/orderdispatcher.py
+++ b/packages/daemon/src/bergamotwood_daemon/orderdispatcher.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints, sent only under the leader's lease."""
+"""Sends orders to endpoints, only while this replica holds the leader's lease."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 
 
 class OrderBody(Struct, frozen=True):
-    """An order as endpoints take it."""
+    """JSON body of an order to an endpoint."""
 
     order: str
     version: str
@@ -35,17 +35,17 @@
     Parameters
     ----------
     group : LogGroup
-        The control group, for lease and token.
+        The control group, which has the lease and the fencing token.
     machine : ControlMachine
-        What should be loaded.
+        Control state, which names the versions that should be loaded.
     directory : DirectoryTables
-        What is loaded.
+        Directory of endpoints and the versions that they have loaded.
     pace : LoadRateLimit
-        The weight store's limit.
+        Rate limit of the weight store.
     key : str
-        Shown to endpoints.
+        Key that authenticates orders to endpoints.
     clock : callable
-        Gives the time.
+        Returns the current time.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._tables = OrderTables()
 
     def tick(self, now: Seconds) -> None:
-        """Send the loads that are due."""
+        """Send the load orders that are due."""
         holds_lease = self._group.holds_lease(now)
         token = self._group.build_fencing_token() if holds_lease else None
         orders = order_loads(
@@ -86,7 +86,7 @@
         )
         try:
             call.dial(CONNECT_TIMEOUT_SECONDS)
-            # The lease may have ended while the connection was dialled.
+            # The lease may have ended while the connection was opened.
             if not self._is_token_current(order):
                 return
             call.send(ORDER_TIMEOUT_SECONDS)
--- a/packages/daemon/src/bergamotwood_daemon/peer.py
+++ b/packages/daemon/src/bergamotwood_daemon/peer.py
@@ -1,4 +1,4 @@
-"""gRPC between daemons: a server, and a channel for each peer."""
+"""gRPC server and client channels for calls between daemons."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -28,19 +28,19 @@
 )
 
 if TYPE_CHECKING:
-    # Loads TLS, which daemons without it need not hold in memory.
+    # Only for type checks: loads TLS, which daemons without it need not hold in memory.
     from bergamotwood_daemon.encryption import PeerEncryption
 
 MAX_MESSAGE_BYTES = 64_000_000
 MAX_WORKERS = 1_024
 MAX_QUEUED_MESSAGES = 1_024
 REPLICATE_TIMEOUT_SECONDS = 1.0
-# Time between two dials of a peer that does not answer.
+# Bounds of the delay before an unreachable peer is dialled again.
 MIN_REDIAL_SECONDS = 0.05
 MAX_REDIAL_SECONDS = 1.0
 KEY_HEADER = "bergamotwood-instance-key"
 
-# A new channel must dial anew, so that a silent connection can be replaced.
+# A new channel must open its own connection, to replace one that became unresponsive.
 CHANNEL_OPTIONS = (
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -51,7 +51,7 @@
     ("grpc.enable_retries", 0),
     ("grpc.enable_http_proxy", 0),
 )
-# A client that is lost on the way is dropped after 15 s, with its connection.
+# Keepalive closes the connection of an unreachable client after 15 s.
 SERVER_OPTIONS = (
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 5_000),
@@ -70,10 +70,10 @@
 
 
 class PeerHandler(Protocol):
-    """What a daemon does with the messages of its peers."""
+    """Handles the calls that a daemon receives from its peers."""
 
     def handle_replicate(self, body: bytes) -> bytes:
-        """Take replication messages."""
+        """Handle replication messages."""
 
     def handle_propose(self, body: bytes) -> bytes:
         """Submit a command."""
@@ -91,11 +91,11 @@
     Parameters
     ----------
     handler : PeerHandler
-        Where calls go.
+        Handles the calls.
     key : str
-        Instance key that every caller must show.
+        Instance key that every caller must present.
     encryption : PeerEncryption or None
-        TLS, where the settings have it.
+        TLS of the server; None for plaintext.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         add_PeerServicer_to_server(self, self._server)
 
     def start(self, address: Address) -> int:
-        """Listen on `address` and return the port, which 0 leaves open."""
+        """Listen on `address` and return the port; port 0 selects a free one."""
         port = self._bind(str(address))
         if port == 0:
             raise OSError(f"peer_listen: cannot listen on {address}")
@@ -118,11 +118,11 @@
         return port
 
     def stop(self, grace_seconds: float) -> None:
-        """Take no new calls and wait for running ones."""
+        """Reject new calls and wait for running ones."""
         self._server.stop(grace_seconds).wait(grace_seconds + 1.0)
 
     def Replicate(self, request: Frame, context: grpc.ServicerContext) -> Frame:  # noqa: N802
-        """Take replication messages."""
+        """Handle replication messages."""
         return self._handle(self._handler.handle_replicate, request, context)
 
     def Propose(self, request: Frame, context: grpc.ServicerContext) -> Frame:  # noqa: N802
@@ -161,7 +161,7 @@
 
 
 class PeerChannel:
-    """Calls to one peer; a call that times out makes the next one dial anew."""
+    """Client of one peer; after a failed call the next one opens a new connection."""
 
     def __init__(
         self, address: Address, key: str, encryption: "PeerEncryption | None" = None
@@ -181,11 +181,12 @@
         Raises
         ------
         ReplicationError
-            The peer did not answer; it may have acted.
+            When the peer did not answer; unless `run` is `NOT_RUN` it may have
+            handled the call.
         """
         if monotonic() < self._redial_at:
             raise ReplicationError(
-                f"{method} at {self._address}: not dialled again yet", run=Run.NOT_RUN
+                f"{method} at {self._address}: waiting to dial again", run=Run.NOT_RUN
             )
         channel = self._get_channel()
         try:
@@ -221,7 +222,7 @@
         return grpc.secure_channel(target, credentials, options=CHANNEL_OPTIONS)
 
     def _back_off(self, channel: grpc.Channel) -> None:
-        """Drop a channel that failed, and dial anew only after a while."""
+        """Close a channel that failed and delay the next connection."""
         if self._channel is channel:
             doubled = max(2.0 * self._backoff, MIN_REDIAL_SECONDS)
             self._backoff = min(doubled, MAX_REDIAL_SECONDS)
@@ -235,7 +236,7 @@
 
 
 class ReplicationSender:
-    """Sends replication messages to one peer, batched while a call runs."""
+    """Sends replication messages to one peer; batches those queued during a call."""
 
     def __init__(self, channel: PeerChannel) -> None:
         self._channel = channel
@@ -243,13 +244,13 @@
         self._greenlet = spawn(self._run)
 
     def send(self, envelope: Envelope) -> None:
-        """Queue a message; it is dropped when the peer is too far behind."""
+        """Queue a message, or drop it when the queue is full."""
         if self._queue.qsize() >= MAX_QUEUED_MESSAGES:
             return
         self._queue.put(envelope)
 
     def stop(self) -> None:
-        """Drop what is queued."""
+        """Stop sending and drop queued messages."""
         self._greenlet.kill(block=False)
 
     def _run(self) -> None:
@@ -265,14 +266,14 @@
 
 
 class GroupTransport:
-    """Transport of one log group over the senders of the daemon."""
+    """Transport of one log group, over senders that the groups share."""
 
     def __init__(self, group: str, senders: dict[InstanceId, ReplicationSender]):
         self._group = group
         self._senders = senders
 
     def send(self, target: InstanceId, body: bytes) -> None:
-        """Send without waiting; unknown targets are ignored."""
+        """Queue a message without blocking; unknown targets are ignored."""
         sender = self._senders.get(target)
         if sender is not None:
             sender.send(Envelope(self._group, body))
--- a/packages/daemon/src/bergamotwood_daemon/pendingproposals.py
+++ b/packages/daemon/src/bergamotwood_daemon/pendingproposals.py
@@ -1,4 +1,4 @@
-"""Proposals that were appended and wait to be applied."""
+"""Proposals that are in the log and wait to be applied."""
 
 from bergamotwood_core.errors import NotLeaderError, ReplicationError
 from bergamotwood_core.ids import LogIndex, Term
@@ -7,7 +7,7 @@
 
 
 class PendingProposals:
-    """Proposals by the index and term at which they were appended."""
+    """Pending proposals, by the index and term at which they were appended."""
 
     def __init__(self) -> None:
         self._proposals: dict[LogIndex, tuple[Term, Proposal]] = {}
@@ -16,13 +16,13 @@
         return len(self._proposals)
 
     def add(self, index: LogIndex, term: Term, proposal: Proposal) -> None:
-        """Wait for an entry that was appended just now."""
+        """Add a proposal that was just appended."""
         self._fail_overwritten(index)
         proposal.appended = True
         self._proposals[index] = (term, proposal)
 
     def resolve(self, entry: Entry, answer: bytes) -> None:
-        """Answer the proposal of an applied entry."""
+        """Complete the proposal of an applied entry with its answer."""
         pending = self._proposals.get(entry.index)
         if pending is None:
             return
@@ -34,19 +34,23 @@
         proposal.result.set(answer)
 
     def fail_through(self, index: LogIndex) -> None:
-        """Give up on entries that a snapshot contains."""
+        """Fail the proposals up to an index that a received snapshot contains."""
         for pending_index in [held for held in self._proposals if held <= index]:
             _, proposal = self._proposals.pop(pending_index)
-            proposal.result.set_exception(ReplicationError("passed over by a snapshot"))
+            proposal.result.set_exception(
+                ReplicationError("answer lost: entry was applied by a snapshot")
+            )
 
     def fail_all(self, detail: str) -> None:
-        """Give up on all."""
+        """Fail all pending proposals."""
         for _, proposal in self._proposals.values():
             proposal.result.set_exception(ReplicationError(detail))
         self._proposals.clear()
 
     def _fail_overwritten(self, index: LogIndex) -> None:
-        # Another entry has its place, so it will never be applied.
+        # Another entry took its index, so it will never be applied.
         pending = self._proposals.pop(index, None)
         if pending is not None:
-            pending[1].result.set_exception(NotLeaderError("lost to a later term"))
+            pending[1].result.set_exception(
+                NotLeaderError("entry was overwritten in a later term")
+            )
--- a/packages/daemon/src/bergamotwood_daemon/proposer.py
+++ b/packages/daemon/src/bergamotwood_daemon/proposer.py
@@ -1,4 +1,4 @@
-"""Submitting commands to the leader of a log group, wherever it is."""
+"""Submits commands to the current leader of a log group."""
 
 from collections.abc import Callable
 from random import Random
@@ -23,7 +23,7 @@
 )
 
 CALL_TIMEOUT_SECONDS = 1.5
-# Calls that wait at once; each holds a thread.
+# Maximum number of pending calls; each occupies a thread.
 MAX_CONCURRENT_CALLS = 64
 MIN_BACKOFF_SECONDS = 0.02
 MAX_BACKOFF_SECONDS = 0.3
@@ -32,17 +32,17 @@
 class Proposer:
     """Finds the leader of one log group and submits commands to it.
 
-    All commands are idempotent, so a command whose answer was lost is sent
-    again until the deadline.
+    All commands are idempotent, so a command whose answer was lost is retried
+    until the deadline.
 
     Parameters
     ----------
     group : str
-        The log group.
+        Name of the log group.
     channels : dict of InstanceId to PeerChannel
-        The control replicas.
+        Channels to the control replicas.
     clock : callable
-        Gives the time.
+        Returns the current time.
     rng : Random
         Source of jitter.
     """
@@ -68,18 +68,19 @@
         Raises
         ------
         ReplicationError
-            Not known to be committed in time. `run` tells whether it may be.
+            When the command was not confirmed in time. `run` tells whether it may
+            still be committed.
         """
         request = ProposeRequest(self._group, command, CALL_TIMEOUT_SECONDS)
         return self._submit(PROPOSE, ENCODER.encode(request), timeout_seconds)
 
     def query(self, query: Query, timeout_seconds: float) -> bytes:
-        """Read from the leader's state; the answer is JSON.
+        """Query the leader's state and return the answer as JSON.
 
         Raises
         ------
         ReplicationError
-            No leader answered in time.
+            When no leader answered in time.
         """
         request = QueryRequest(self._group, query, CALL_TIMEOUT_SECONDS)
         return self._submit(QUERY, ENCODER.encode(request), timeout_seconds)
--- a/packages/daemon/src/bergamotwood_daemon/relay.py
+++ b/packages/daemon/src/bergamotwood_daemon/relay.py
@@ -1,4 +1,4 @@
-"""Passing soft state on to the other control replicas."""
+"""Relays soft state to the other control replicas."""
 
 from collections.abc import Callable
 from random import Random
@@ -21,14 +21,14 @@
 
 
 class Relay:
-    """Sends news to one other replica, the newest of each sender.
+    """Sends updates to one other replica, and only the newest one of each sender.
 
     Parameters
     ----------
     channel : PeerChannel
-        The other replica.
+        Channel to the other replica.
     read_applied : callable
-        Control index of this replica.
+        Returns the index of the control log that this replica has applied.
     rng : Random
         Source of jitter.
     """
@@ -43,7 +43,7 @@
         self._greenlet = None
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self._greenlet = spawn(self._run)
 
     def stop(self) -> None:
@@ -52,7 +52,7 @@
             self._greenlet.kill(block=False)
 
     def put(self, update: Update) -> None:
-        """Queue an item in the place of an older one of the same sender."""
+        """Queue an update in place of an older one with the same key."""
         if len(self._pending_updates) < MAX_PENDING_UPDATES:
             self._pending_updates[_make_key(update)] = update
 
--- a/packages/daemon/src/bergamotwood_daemon/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/settings.py
@@ -19,7 +19,7 @@
     try:
         ip_address(host)
     except ValueError:
-        raise ValueError("must be an IP number")
+        raise ValueError("must be an IP address")
     return host
 
 
@@ -29,7 +29,7 @@
 
 
 class Role(StrEnum):
-    """What an instance does."""
+    """Role of an instance."""
 
     ENTRY = "entry"
     CONTROL = "control"
@@ -40,14 +40,14 @@
 
 
 class SocketAddress(_Section):
-    """An IP number and a port to listen on."""
+    """An IP address and a port."""
 
     host: Host = "127.0.0.1"
     port: Port
 
 
 class ReplicaAddress(_Section):
-    """A control replica and where its peers reach it."""
+    """A control replica and the address at which its peers reach it."""
 
     id: Name
     host: Host
@@ -55,14 +55,14 @@
 
 
 class Limits(_Section):
-    """Bounds on what comes from outside.
+    """Limits on requests and answers.
 
     Parameters
     ----------
     body_bytes, answer_bytes : int
-        Largest request body, and largest stored answer.
+        Maximum size of a request body, and of a stored answer, in bytes.
     body_seconds : float
-        Time that a sender has for its body.
+        Time within which a caller must send its body.
     """
 
     body_bytes: int = Field(ge=1_024, default=4_000_000)
@@ -71,24 +71,24 @@
 
 
 class Timeouts(_Section):
-    """Waits, in seconds.
+    """Timeouts in seconds.
 
     Parameters
     ----------
     connect : float
-        Dialling an endpoint.
+        Connecting to an endpoint.
     first_chunk, next_chunk : float
-        Silence allowed before the first and between later chunks of an answer.
+        Waiting for the first chunk of an answer, and for each later one.
     call : float
         Time that a caller is kept waiting for a non-idempotent request.
     late : float
-        Silence after which a plain service's answer is given up.
+        Silence after which the answer of a plain service is abandoned.
     ledger : float
         Waiting for the ledger to commit.
     request : float
-        Whole request where the caller names no deadline.
+        Whole request, if the caller sets no deadline.
     drain : float
-        Time that a leaving entry serves on while callers keep old answers.
+        Time that a draining entry keeps serving while callers have its address cached.
     """
 
     connect: PositiveSeconds = 1.0
@@ -102,14 +102,14 @@
 
 
 class Tls(_Section):
-    """Files of a certificate, its key, and the authority that peers must show.
+    """Files of a certificate, its key, and the authority that must sign those of peers.
 
     Parameters
     ----------
     certificate, key : Path
         PEM files of this instance.
     authority : Path or None
-        PEM file; callers must then show a certificate signed by it.
+        PEM file; callers must then present a certificate signed by it.
     """
 
     certificate: Path
@@ -118,14 +118,14 @@
 
 
 class WeightStore(_Section):
-    """The weight store's limit, to which orders are paced.
+    """Rate limit of the weight store, which load orders keep to.
 
     Parameters
     ----------
     loads_per_second : float
-        Loads that it serves in the long run.
+        Sustained rate of loads.
     burst : int
-        Loads that may start at once.
+        Number of loads that may start at once.
     """
 
     loads_per_second: float = Field(gt=0.0, le=1_000.0, default=1.0)
@@ -133,48 +133,48 @@
 
 
 class Settings(_Section):
-    """Everything a daemon is told at its start.
+    """Settings of a daemon.
 
     Parameters
     ----------
     instance, data_centre : str
-        Name and place of the instance.
+        Name of the instance, and its data centre.
     nearby : tuple of str
         Data centres within a few milliseconds, used like its own.
     listen, peer_listen : SocketAddress
-        Where callers and other daemons reach it.
+        Addresses to listen on for callers and for other daemons.
     advertise : SocketAddress or None
-        What callers are told in place of `listen`.
+        Address given to callers in place of `listen`.
     roles : tuple of Role
         Entry, control, or both.
     data_folder : Path or None
-        Needed by the control role.
+        Folder of the log groups; required by the control role.
     replicas : tuple of ReplicaAddress
         The control replicas.
     operator_key_hashes, endpoint_key_hashes : tuple of str
-        SHA-256 of the keys that operators and endpoints show.
+        SHA-256 of the keys that operators and endpoints present.
     instance_key : str
-        Shared by the daemons.
+        Key that the daemons share to authenticate each other.
     session_secret : str
         Authenticates session ids.
     max_config_age_seconds : float
         An entry with an older configuration takes no new work.
     address_ttl_seconds : int
-        How long callers may keep the answer of `/v1/addresses`.
+        How long callers may cache the answer of `/v1/addresses`.
     rating_address : SocketAddress or None
-        Where the rating service is.
+        Address of the rating service.
     order_key : str
-        Shown to endpoints with orders.
+        Key that authenticates orders to endpoints.
     trace_file : Path or None
         Where spans are written as OTLP JSON lines.
     tls : Tls or None
-        Encrypts what callers, endpoints and operators send.
+        Encrypts connections of callers, endpoints and operators.
     peer_tls : Tls or None
-        Encrypts what instances send each other; needs `authority`.
+        Encrypts connections between instances; requires `authority`.
     weight_store : WeightStore
-        Limit of the loads that are ordered.
+        Rate limit of load orders.
     allow_plain : bool
-        Whether it may listen beyond loopback without encryption.
+        Whether the daemon may listen beyond loopback without encryption.
     """
 
     instance: Name
@@ -204,7 +204,7 @@
 
     @property
     def advertised(self) -> SocketAddress:
-        """Where callers are told to connect."""
+        """Address that callers are told to use."""
         return self.advertise or self.listen
 
     @property
@@ -234,7 +234,8 @@
     Raises
     ------
     SettingsError
-        With every fault at once: key, value and what is allowed.
+        When the file is invalid. Lists every fault with key, value and what is
+        allowed.
     """
     try:
         content = path.read_bytes()
@@ -254,9 +255,9 @@
     Parameters
     ----------
     document : Any
-        As read from YAML.
+        Content of the YAML file.
     source : str
-        Where it comes from, for the error.
+        Origin of the document, for the error.
 
     Returns
     -------
@@ -266,7 +267,7 @@
     Raises
     ------
     SettingsError
-        With every fault at once.
+        When the document is invalid. Lists every fault.
     """
     faults = list(find_cross_field_faults(document))
     settings = None
--- a/packages/daemon/src/bergamotwood_daemon/settingscheck.py
+++ b/packages/daemon/src/bergamotwood_daemon/settingscheck.py
@@ -1,4 +1,4 @@
-"""Checks between the fields of a settings document, before it is a model."""
+"""Checks across the fields of a settings document, before it becomes a model."""
 
 from collections.abc import Iterator, Mapping
 from ipaddress import ip_address
@@ -12,18 +12,17 @@
 def find_cross_field_faults(document: Any) -> Iterator[str]:
     """Find the faults that concern more than one field.
 
-    The document need not be valid in itself: what is missing or of a wrong
-    type is passed over here, since the model names it.
+    Missing fields and wrong types are ignored here, since the model reports them.
 
     Parameters
     ----------
     document : Any
-        Settings as read from YAML.
+        Content of the YAML file.
 
     Yields
     ------
     str
-        Place, value and what is allowed.
+        Key, value and what is allowed.
     """
     if not isinstance(document, Mapping):
         return
@@ -56,9 +55,9 @@
     ]
     for index, (name, address) in enumerate(zip(names, addresses, strict=True)):
         if name in names[:index]:
-            yield f"replicas[{index}].id: {name!r} stands twice"
+            yield f"replicas[{index}].id: {name!r} occurs twice"
         if address in addresses[:index]:
-            yield f"replicas[{index}]: address {address[0]}:{address[1]} stands twice"
+            yield f"replicas[{index}]: address {address[0]}:{address[1]} occurs twice"
     roles = _list_items(document, "roles")
     if document.get("instance") in names and roles and "control" not in roles:
         yield "roles: must have control, since replicas names this instance"
@@ -79,7 +78,7 @@
 def _check_peer_tls(document: Mapping[str, Any]) -> Iterator[str]:
     tls = document.get("peer_tls")
     if tls and not _get_value(tls, "authority"):
-        yield "peer_tls.authority: is required, since instances check each other"
+        yield "peer_tls.authority: is required, since instances authenticate each other"
 
 
 def _check_secrets(document: Mapping[str, Any]) -> Iterator[str]:
--- a/packages/daemon/src/bergamotwood_daemon/ticker.py
+++ b/packages/daemon/src/bergamotwood_daemon/ticker.py
@@ -1,4 +1,4 @@
-"""The tick loop: systems over the tables, many times a second."""
+"""Runs the periodic tasks of a daemon in one loop."""
 
 from gevent import sleep, spawn
 
@@ -27,20 +27,20 @@
 
 
 class Ticker:
-    """Runs the systems of one daemon.
+    """Runs the periodic tasks of one daemon.
 
     Parameters
     ----------
     entry : Entry
-        The entry's tables.
+        The entry, with its tables.
     admittance : Admittance
-        Requests that wait.
+        Admission of requests, with those that wait.
     control_replica : ControlReplica or None
-        The control role, where the instance has it.
+        The control role, if the instance has it.
     order_dispatcher : OrderDispatcher or None
-        Orders to endpoints, with the control role.
+        Sends orders to endpoints, if the instance has the control role.
     tls : ServerEncryption or None
-        Files to look at for changes.
+        TLS of the HTTP server, whose files are checked for changes.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
         self._slow_tasks_ran_at = entry.clock()
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start the loop."""
         self._greenlet = spawn(self._run)
 
     def stop(self) -> None:
-        """Stop ticking."""
+        """Stop the loop."""
         self._greenlet.kill(block=False)
 
     def _run(self) -> None:
@@ -74,7 +74,7 @@
             try:
                 self._tick(self._entry.clock())
             except Exception:
-                log_failure("tick", "A system failed.")
+                log_failure("tick", "Periodic task failed.")
 
     def _tick(self, now: Seconds) -> None:
         directory = self._entry.tables.directory
@@ -91,7 +91,7 @@
         self._advance_ledger_clock(now)
 
     def _run_slow_tasks(self, now: Seconds) -> None:
-        """Run what a tick in ten is enough for."""
+        """Run the tasks that need not run on every tick."""
         if now - self._slow_tasks_ran_at < SLOW_TASK_INTERVAL_SECONDS:
             return
         self._slow_tasks_ran_at = now
@@ -102,7 +102,7 @@
             self._order_dispatcher.tick(now)
 
     def _track_rollout_outcomes(self, tables: ConfigurationTables) -> None:
-        """Count outcomes under each roll-out that is under way."""
+        """Count outcomes for active roll-outs and forget those of ended ones."""
         outcomes = self._entry.outcomes
         for id, rollout in tables.rollouts.items():
             progress = tables.progress.get(id)
@@ -117,7 +117,7 @@
             )
 
     def _advance_ledger_clock(self, now: Seconds) -> None:
-        """Let the ledger's time pass, while this replica leads it."""
+        """Advance the clock of the ledger's state machine, if this replica leads it."""
         elapsed = now - self._ledger_ticked_at
         if elapsed < LEDGER_TICK_INTERVAL_SECONDS:
             return
@@ -161,4 +161,6 @@
     try:
         group.propose(command, COMMIT_TIMEOUT_SECONDS)
     except ReplicationError as error:
-        log_event("tick", "Not committed.", group=group.name, detail=error.detail)
+        log_event(
+            "tick", "Command not committed.", group=group.name, detail=error.detail
+        )
--- a/packages/daemon/src/bergamotwood_daemon/watch.py
+++ b/packages/daemon/src/bergamotwood_daemon/watch.py
@@ -1,4 +1,4 @@
-"""Following the control log: an entry polls a replica and applies its news."""
+"""Follows the control log: polls control replicas and applies their changes."""
 
 from collections.abc import Callable
 from random import Random
@@ -21,7 +21,7 @@
 
 HOLD_SECONDS = 0.5
 POLL_TIMEOUT_SECONDS = 1.5
-# Least time between two urgent reports.
+# Minimum time between two urgent reports.
 MIN_REPORT_INTERVAL_SECONDS = 0.1
 REPORT_TIMEOUT_SECONDS = 1.0
 MAX_USEFUL_AGE_SECONDS = 2.0
@@ -31,24 +31,24 @@
 
 
 class Watch:
-    """An entry's view of the control log, and how old it can be.
+    """Keeps an entry's copy of the control state current and bounds its age.
 
     Parameters
     ----------
     machine : ControlMachine
         The entry's own copy of the control state.
     tables : Tables
-        The entry's tables, which the news goes into.
+        The entry's tables, which receive the directory changes.
     channels : dict of InstanceId to PeerChannel
-        The control replicas, in order of preference.
+        Channels to the control replicas, in order of preference.
     make_report : callable
-        Gives the entry's report on itself.
+        Makes the entry's report on itself.
     policy : CascadePolicy
-        Exchanges ratings with the other entries.
+        Exchanges evidence from ratings with the other entries.
     outcomes : OutcomeCounter
-        Evidence on roll-outs.
+        Outcomes counted during roll-outs.
     clock : callable
-        Gives the time.
+        Returns the current time.
     rng : Random
         Source of jitter.
     """
@@ -83,11 +83,11 @@
         self._greenlets = []
 
     def start(self) -> None:
-        """Begin to poll and to report."""
+        """Start polling and sending urgent reports."""
         self._greenlets = [spawn(self._run_polls), spawn(self._run_reports)]
 
     def stop(self) -> None:
-        """Stop polling."""
+        """Stop polling and sending urgent reports."""
         for greenlet in self._greenlets:
             greenlet.kill(block=False)
 
@@ -102,7 +102,7 @@
         return sum(channel.received_bytes for channel in self._channels.values())
 
     def measure_age(self, now: Seconds) -> float:
-        """Return seconds since the configuration was surely the newest."""
+        """Return seconds since the configuration was last confirmed as newest."""
         if self._confirmed_at is None:
             return float("inf")
         return now - self._confirmed_at
@@ -113,9 +113,9 @@
         Parameters
         ----------
         announcement : Announcement
-            The endpoint's newest word.
+            The endpoint's newest announcement.
         urgent : bool
-            Whether it changes the membership, so that it goes out at once.
+            Whether it changes the membership, so that it is sent at once.
         """
         if len(self._pending_announcements) >= MAX_PENDING_ANNOUNCEMENTS:
             return
@@ -124,7 +124,7 @@
             self._urgent_report.set()
 
     def report_now(self) -> bool:
-        """Send reports at once; return whether a replica took them."""
+        """Report to a control replica at once; return whether one accepted it."""
         return any(
             self._send_report(name, 0.0, REPORT_TIMEOUT_SECONDS)
             for name in list(self._replica_order)
@@ -152,7 +152,7 @@
     def _send_report(
         self, name: InstanceId, hold_seconds: float, timeout_seconds: float
     ) -> bool:
-        """Report to one replica and take its news; it may wait for some."""
+        """Report to one replica, which may wait for changes, and apply its reply."""
         announcements = tuple(self._pending_announcements.values())
         self._pending_announcements.clear()
         request = PollRequest(
@@ -192,7 +192,7 @@
     def _apply_reply(self, reply: PollReply, sent_at: Seconds) -> None:
         self._apply_directory_changes(reply)
         if reply.applied < self.applied:
-            # A replica that lags behind proves nothing about our configuration.
+            # A lagging replica cannot confirm that this newer configuration is current.
             return
         self._apply_changes(reply)
         confirmed_at = Seconds(sent_at - reply.age_seconds)
--- a/packages/daemon/src/bergamotwood_daemon/wire.py
+++ b/packages/daemon/src/bergamotwood_daemon/wire.py
@@ -59,30 +59,30 @@
 
 
 class PollRequest(Struct, frozen=True):
-    """What an entry tells a control replica, and what it has already.
+    """An entry's report to a control replica, and what it has received already.
 
     Parameters
     ----------
     applied : LogIndex
-        Highest control index in force at the entry.
+        Highest index of the control log that the entry has applied.
     hold_seconds : float
-        How long the replica may wait for news.
+        How long the replica may wait for changes before it answers.
     boot : str
-        The replica's boot that `cursor` belongs to.
+        The start of the replica that `cursor` belongs to.
     cursor : int
-        Directory changes already received from that boot.
+        Last directory change that the entry received from that start.
     report : EntryReport or None
-        The entry's word on itself.
+        The entry's report on itself.
     announcements : tuple of Announcement
-        Endpoints heard since the last report.
+        Announcements of endpoints since the last report.
     reports : tuple of EntryReport
-        Entries, passed on between replicas.
+        Reports of other entries, relayed between replicas.
     ratings : tuple of Evidence
-        Ratings since the last report.
+        Evidence from ratings since the last report.
     outcomes : tuple of RolloutReport
-        All that the entry has counted under roll-outs.
+        All outcomes that the entry has counted during roll-outs.
     relayed : bool
-        Whether another replica passes this on.
+        Whether another control replica relays this request.
     """
 
     applied: LogIndex
@@ -98,30 +98,30 @@
 
 
 class PollReply(Struct, frozen=True):
-    """A control replica's news.
+    """Changes that a control replica sends to an entry.
 
     Parameters
     ----------
     age_seconds : float
-        Age of the newest round that a majority confirmed.
+        Age in seconds of the newest round that a majority confirmed.
     applied : LogIndex
-        Control index that the changes lead to.
+        Index of the control log after these changes.
     snapshot : bytes or None
-        Whole control state, when the entry is too far behind for changes.
+        Whole control state, if the entry is too far behind for single changes.
     changes : tuple of LogChange
         Commands after the entry's index.
     boot, cursor : str, int
-        What the entry has of the directory after this reply.
+        Position in the directory changes after this reply.
     announcements : tuple of Announcement
         Endpoints that are new to the entry, or whose membership changed.
     loads : tuple of LoadReport
-        Endpoints of which only the load is news.
+        Endpoints of which only the load changed.
     reports : tuple of EntryReport
-        Entries of which there is news.
+        Reports of entries since the last reply.
     ratings : tuple of Evidence
-        Ratings that other entries saw.
+        Evidence from ratings that other entries received.
     leader : InstanceId or None
-        Believed leader of the control group.
+        Leader of the control group, as far as the replica knows.
     """
 
     age_seconds: float
@@ -162,7 +162,7 @@
 
 
 class FindTicket(Struct, frozen=True, tag=True):
-    """Ask what became of a ticket."""
+    """Ask for the outcome of a ticket."""
 
     number: int
 
@@ -177,7 +177,7 @@
 
 
 class QueryRequest(Struct, frozen=True):
-    """A question to the leader of a log group."""
+    """A query for the leader of a log group."""
 
     group: str
     query: Query
--- a/tests/daemon/loggroups.py
+++ b/tests/daemon/loggroups.py
@@ -1,4 +1,4 @@
-"""Log groups in one process, joined by a transport in memory."""
+"""Log groups in one process, connected by a transport in memory."""
 
 from random import Random
 from time import monotonic
@@ -15,7 +15,7 @@
 
 
 class ListMachine:
-    """Keeps every command."""
+    """State machine that keeps every command."""
 
     def __init__(self):
         self.commands = []
@@ -32,7 +32,7 @@
 
 
 class MemoryTransport:
-    """Delivers to groups of the same process, but for isolated instances."""
+    """Delivers within the process, except from or to isolated instances."""
 
     def __init__(self, source, groups, isolated):
         self.source = source
@@ -118,5 +118,5 @@
     limit = monotonic() + seconds
     while not condition():
         if monotonic() > limit:
-            raise AssertionError("waited in vain")
+            raise AssertionError(f"condition not met within {seconds} s")
         sleep(0.01)
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -182,7 +182,7 @@
 
 
 def find_frame_ends(folder, count):
-    """Sizes of the log after each batch."""
+    """Return the size of the log after each batch."""
     sizes = []
     for done in range(count + 1):
         with TemporaryDirectory(dir=folder) as other:
--- a/tests/daemon/test_logwriter.py
+++ b/tests/daemon/test_logwriter.py
@@ -11,7 +11,7 @@
 
 
 class BlockedStream(BytesIO):
-    """Takes nothing until it is released."""
+    """Blocks writes until it is released."""
 
     def __init__(self):
         super().__init__()
--- a/tests/daemon/test_watch.py
+++ b/tests/daemon/test_watch.py
@@ -28,7 +28,7 @@
 
 
 class FakeReplica:
-    """A control replica whose log, age and delays the test sets."""
+    """A control replica whose log, age and delay the test sets."""
 
     def __init__(self, clock):
         self.clock = clock
