--- a/packages/daemon/src/bergamotwood_daemon/controlreplica.py
+++ b/packages/daemon/src/bergamotwood_daemon/controlreplica.py
@@ -78,7 +78,7 @@
         self.control_group = control_group
         self.ledger_group = ledger_group
         self.directory = directory
-        self.rollout_watches: dict[RolloutId, RolloutMonitor] = {}
+        self.rollout_monitors: dict[RolloutId, RolloutMonitor] = {}
         self._feed = feed
         self._ledger_machine = ledger_machine
         self._relays = [
@@ -184,7 +184,7 @@
             *(e for e in request.ratings if self.directory.record_ratings(e)),
             *request.outcomes,
         ]
-        merge_reports(self.rollout_watches, request.outcomes)
+        merge_reports(self.rollout_monitors, request.outcomes)
         if self.directory.membership_cursor != previous_membership_cursor:
             self._notify_pollers()
         if request.relayed:
--- a/packages/daemon/src/bergamotwood_daemon/journal.py
+++ b/packages/daemon/src/bergamotwood_daemon/journal.py
@@ -141,8 +141,8 @@
                 close_file(file)
         self._file = self._lock = -1
 
-    def _open(self, fresh_identity: ReplicaId) -> None:
-        self._identity = Identity(fresh_identity)
+    def _open(self, new_identity: ReplicaId) -> None:
+        self._identity = Identity(new_identity)
         self._genesis: Genesis | None = None
         self._hard_state = HardState()
         snapshot = self._read_snapshot()
--- a/packages/daemon/src/bergamotwood_daemon/logwriter.py
+++ b/packages/daemon/src/bergamotwood_daemon/logwriter.py
@@ -53,9 +53,11 @@
 
     def __call__(self, message: Message) -> None:
         """Queue a message, or drop it when the queue is full; never blocks."""
-        waiting = self._queue.qsize()
+        queue_length = self._queue.qsize()
         is_routine = message.get("message") in ROUTINE_MESSAGES
-        if waiting >= (MAX_QUEUED_ROUTINE_LINES if is_routine else MAX_QUEUED_LINES):
+        if queue_length >= (
+            MAX_QUEUED_ROUTINE_LINES if is_routine else MAX_QUEUED_LINES
+        ):
             self.dropped += 1
             return
         self._queue.put(message)
--- a/packages/daemon/src/bergamotwood_daemon/orderdispatcher.py
+++ b/packages/daemon/src/bergamotwood_daemon/orderdispatcher.py
@@ -40,7 +40,7 @@
         Control state, which names the versions that should be loaded.
     directory : DirectoryTables
         Directory of endpoints and the versions that they have loaded.
-    pace : LoadRateLimit
+    rate_limit : LoadRateLimit
         Rate limit of the weight store.
     key : str
         Key that authenticates orders to endpoints.
@@ -53,14 +53,14 @@
         group: LogGroup,
         machine: ControlMachine,
         directory: DirectoryTables,
-        pace: LoadRateLimit,
+        rate_limit: LoadRateLimit,
         key: str,
         clock: Callable[[], Seconds],
     ) -> None:
         self._group = group
         self._machine = machine
         self._directory = directory
-        self._pace = pace
+        self._rate_limit = rate_limit
         self._key = key
         self._clock = clock
         self._tables = OrderTables()
@@ -70,7 +70,12 @@
         holds_lease = self._group.holds_lease(now)
         token = self._group.build_fencing_token() if holds_lease else None
         orders = order_loads(
-            self._machine.tables, self._directory, self._tables, token, self._pace, now
+            self._machine.tables,
+            self._directory,
+            self._tables,
+            token,
+            self._rate_limit,
+            now,
         )
         for order in orders:
             spawn(self._send, order)
--- a/packages/daemon/src/bergamotwood_daemon/ticker.py
+++ b/packages/daemon/src/bergamotwood_daemon/ticker.py
@@ -131,7 +131,7 @@
         changes = advance_rollouts(
             control_replica.control_machine.tables,
             control_replica.directory.tables,
-            control_replica.rollout_watches,
+            control_replica.rollout_monitors,
             now,
             self._entry.settings.rating_address is not None,
         )
--- a/tests/daemon/test_directoryfeed.py
+++ b/tests/daemon/test_directoryfeed.py
@@ -23,8 +23,8 @@
 
 
 def test_new_watcher_gets_the_whole_directory(feed):
-    news = feed.list_changes("", 0)
-    assert news.announcements == (ANNOUNCEMENT,)
+    changes = feed.list_changes("", 0)
+    assert changes.announcements == (ANNOUNCEMENT,)
     assert feed.list_changes("boot-0", 99).announcements == (ANNOUNCEMENT,)
 
 
@@ -32,9 +32,9 @@
     cursor = feed.cursor
     membership = feed.membership_cursor
     feed.record_announcement(replace(ANNOUNCEMENT, sequence=2, load=7.0), NOW)
-    news = feed.list_changes("boot-1", cursor)
-    assert news.announcements == ()
-    assert [load.load for load in news.loads] == [7.0]
+    changes = feed.list_changes("boot-1", cursor)
+    assert changes.announcements == ()
+    assert [load.load for load in changes.loads] == [7.0]
     assert feed.membership_cursor == membership
 
 
@@ -56,11 +56,11 @@
         replace(ANNOUNCEMENT, incarnation=2, sequence=2, state=EndpointState.LEAVING),
     ]
     for next_announcement in announcements:
-        news = feed.list_changes(boot, cursor)
-        boot, cursor = feed.boot, news.cursor
-        for announcement in news.announcements:
+        changes = feed.list_changes(boot, cursor)
+        boot, cursor = feed.boot, changes.cursor
+        for announcement in changes.announcements:
             merge_announcement(tables, announcement, NOW)
-        for load in news.loads:
+        for load in changes.loads:
             merge_load(tables, load, NOW)
         assert (
             tables.endpoints["e1"].announcement
@@ -89,5 +89,5 @@
 def test_expired_endpoints_and_entries_are_no_longer_listed(feed):
     feed.record_report(EntryReport("a", 1, 1, Address("127.0.0.1", 3), "karen"), NOW)
     feed.expire(Seconds(NOW + 1_000.0))
-    news = feed.list_changes("", 0)
-    assert (news.announcements, news.reports) == ((), ())
+    changes = feed.list_changes("", 0)
+    assert (changes.announcements, changes.reports) == ((), ())
--- a/tests/daemon/test_encryption.py
+++ b/tests/daemon/test_encryption.py
@@ -93,9 +93,9 @@
 def read_serial(port, authority):
     context = SSLContext(PROTOCOL_TLS_CLIENT)
     context.load_verify_locations(authority.file)
-    plain = create_connection(("127.0.0.1", port), timeout=5.0)
-    with context.wrap_socket(plain, server_hostname="127.0.0.1") as secured:
-        der = secured.getpeercert(binary_form=True)
+    sock = create_connection(("127.0.0.1", port), timeout=5.0)
+    with context.wrap_socket(sock, server_hostname="127.0.0.1") as tls_sock:
+        der = tls_sock.getpeercert(binary_form=True)
     return x509.load_der_x509_certificate(der).serial_number
 
 
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -81,11 +81,11 @@
     assert saved.entries == ()
 
 
-@pytest.mark.parametrize("cut", [1, 7, 40])
-def test_torn_tail_is_truncated_and_writing_continues(tmp_path, cut):
+@pytest.mark.parametrize("lost_bytes", [1, 7, 40])
+def test_torn_tail_is_truncated_and_writing_continues(tmp_path, lost_bytes):
     write_batches(tmp_path, 4)
     log = tmp_path / "log"
-    log.write_bytes(log.read_bytes()[:-cut])
+    log.write_bytes(log.read_bytes()[:-lost_bytes])
     journal = open_journal(tmp_path)
     assert journal.saved.entries == build_entries(1, 9).entries
     journal.save([build_entries(10, 11)])
