--- a/packages/daemon/src/bergamotwood_daemon/billing.py
+++ b/packages/daemon/src/bergamotwood_daemon/billing.py
@@ -47,7 +47,7 @@
     try:
         reply = entry.ledger.propose(command, entry.settings.timeouts.ledger)
     except ReplicationError as error:
-        # The request has failed, but its bill may still be committed.
+        # The bill may still be committed, but its request has failed: void it.
         entry.claims.settle(VoidBill(bill))
         raise IdempotencyError(
             "the ledger did not confirm the bill",
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -235,10 +235,10 @@
         self._call_replica(lambda replica, now: replica.change_members(change, now))
 
     def measure_age(self, now: Seconds) -> float:
-        """Return the maximum staleness of the applied state, in seconds.
+        """Return how old the applied state may be, in seconds.
 
-        Everything that was committed before that time is applied here; `inf` when
-        no such time is known.
+        Everything that was committed that long ago is applied here; `inf` when
+        this is not known of any time.
         """
         return now - self._confirmed_at
 
--- a/packages/daemon/src/bergamotwood_daemon/groupinput.py
+++ b/packages/daemon/src/bergamotwood_daemon/groupinput.py
@@ -35,7 +35,7 @@
 
 
 class Tick(Struct, frozen=True):
-    """A step of the clock, for elections and heartbeats."""
+    """A tick of the clock, for elections and heartbeats."""
 
 
 class Call(Struct, frozen=True):
--- a/packages/daemon/src/bergamotwood_daemon/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/settings.py
@@ -29,7 +29,7 @@
 
 
 class Role(StrEnum):
-    """Role of an instance."""
+    """What an instance does."""
 
     ENTRY = "entry"
     CONTROL = "control"
@@ -88,7 +88,7 @@
     request : float
         Whole request, if the caller sets no deadline.
     drain : float
-        Time that a draining entry keeps serving while callers have its address cached.
+        Time that a draining entry keeps serving, while callers still cache its address.
     """
 
     connect: PositiveSeconds = 1.0
@@ -102,7 +102,7 @@
 
 
 class Tls(_Section):
-    """Files of a certificate, its key, and the authority that must sign those of peers.
+    """Certificate, private key, and the authority of the certificates of peers.
 
     Parameters
     ----------
--- a/packages/daemon/src/bergamotwood_daemon/ticker.py
+++ b/packages/daemon/src/bergamotwood_daemon/ticker.py
@@ -34,7 +34,7 @@
     entry : Entry
         The entry, with its tables.
     admittance : Admittance
-        Admission of requests, with those that wait.
+        Admission of requests, including those that wait.
     control_replica : ControlReplica or None
         The control role, if the instance has it.
     order_dispatcher : OrderDispatcher or None
--- a/packages/daemon/src/bergamotwood_daemon/wire.py
+++ b/packages/daemon/src/bergamotwood_daemon/wire.py
@@ -103,7 +103,7 @@
     Parameters
     ----------
     age_seconds : float
-        Age in seconds of the newest round that a majority confirmed.
+        Seconds since the newest heartbeat round that a majority confirmed.
     applied : LogIndex
         Index of the control log after these changes.
     snapshot : bytes or None
