--- a/packages/core/src/bergamotwood_core/bill_table.py
+++ b/packages/core/src/bergamotwood_core/bill_table.py
@@ -9,10 +9,10 @@
 from bergamotwood_core.ledger_command import MAX_FIELD_CHARACTERS, Bill
 from bergamotwood_core.watermark import parse_request_id
 
-# Newest bills that are kept whole; the totals count every bill.
+# Newest bills that are kept; the totals include every bill.
 MAX_BILLS = 10_000
 MAX_ATTEMPTS = 64
-# Cost is summed in whole billionths of a unit, so that no sum is rounded.
+# Cost is summed in integer billionths of a cost unit, so that sums are exact.
 BILLIONTHS_PER_UNIT = 1_000_000_000
 MAX_COST = 1e9
 MAX_TOKENS = 10**9
@@ -24,9 +24,9 @@
     Parameters
     ----------
     bills, attempts, prompt_tokens, output_tokens : int
-        How many.
+        Numbers of bills, attempts and tokens.
     cost_billionths : int
-        Cost in billionths of a unit, exact.
+        Exact cost in billionths of a cost unit.
     """
 
     bills: int = 0
@@ -49,7 +49,7 @@
         self.totals: dict[WorkspaceId, Total] = {}
 
     def add(self, bill: Bill) -> None:
-        """Add a checked bill that is known to be new."""
+        """Add a valid bill whose request is not billed yet."""
         self.bills[bill.request] = bill
         if len(self.bills) > MAX_BILLS:
             self.bills.popitem(last=False)
@@ -57,13 +57,13 @@
         self.totals[bill.workspace] = _add_bill(total, bill)
 
     def remove(self, bill: Bill) -> None:
-        """Take a bill that was added out of the table and the total."""
+        """Remove a recorded bill from the table and the total."""
         self.bills.pop(bill.request, None)
         total = self.totals.get(bill.workspace, Total())
         self.totals[bill.workspace] = _add_bill(total, bill, sign=-1)
 
     def list(self, workspace: WorkspaceId | None, limit: int) -> list[Bill]:
-        """List the newest bills, the newest first."""
+        """List the newest bills of one or all workspaces, newest first."""
         newest: list[Bill] = []
         for bill in reversed(self.bills.values()):
             if len(newest) >= limit:
@@ -74,7 +74,7 @@
 
 
 def is_valid(bill: Bill) -> bool:
-    """Tell whether a bill can be added: sane numbers and an entry's id."""
+    """Tell whether a bill has a valid request id and values within the limits."""
     if parse_request_id(bill.request) is None or len(bill.attempts) > MAX_ATTEMPTS:
         return False
     if (
--- a/packages/core/src/bergamotwood_core/bootstrap.py
+++ b/packages/core/src/bergamotwood_core/bootstrap.py
@@ -1,14 +1,14 @@
-"""How a group is formed once, and how replicas join it later.
+"""Forming of a group, and joining of replicas to it.
 
-A fresh group is formed only by the first initial voter, and only when every
-other one has answered this voter's present identity that it belongs to no
-group. So replicas whose folders were lost cannot form a second group while
-one of the old replicas is left. Where the settings say that the group exists
-already, no group is formed at all.
+Only the first initial voter forms a new group, and only after every other one
+has told this voter's current identity that it belongs to no group. So replicas
+that lost their data folders cannot form a second group while one of the old
+replicas is left. If the settings say that the group exists already, no group
+is formed at all.
 
 With open membership any instance may join as a learner. A learner becomes a
-voter where the group has room for one, or in the place of a voter that has
-been silent for long.
+voter when the group may have more voters, or replaces a voter that has been
+silent for `replacement_seconds`.
 """
 
 from bergamotwood_core.clock import Seconds
@@ -29,25 +29,26 @@
     can_change_membership,
 )
 
+# Heartbeat intervals between two join requests.
 JOIN_RETRY_HEARTBEATS = 5
-# Entries that a learner may lack when it becomes a voter.
+# Committed entries that a learner may lack when it becomes a voter.
 PROMOTION_LAG_ENTRIES = 200
-# Members of an open group; more would only cost bandwidth.
+# Members of an open group; more would cost bandwidth without a benefit.
 MAX_OPEN_MEMBERS = 9
-# Voters of an open group: a majority of five outlives the loss of two disks.
+# Voters of an open group; five survive the loss of two disks.
 MAX_OPEN_VOTERS = 5
-# Silence of the leader, in election time-outs, after which a replica asks to
-# join again: it may have been removed while it was away.
+# Silence of the leader, in election timeouts, after which a replica asks to
+# join again, since it may have been removed while it was disconnected.
 REJOIN_ELECTION_TIMEOUTS = 3
 
 
 def is_member(state: ReplicaState) -> bool:
-    """Whether the replica is in the newest membership that it knows."""
+    """Whether the replica is in the newest membership of its log."""
     return state.membership.find(state.replica) is not None
 
 
 def should_request_join(state: ReplicaState, now: Seconds) -> bool:
-    """Whether the replica has to ask the others for the group."""
+    """Whether the replica has to ask the other instances to join the group."""
     if state.genesis is None or not is_member(state):
         return True
     if not state.settings.open_membership or state.role is Role.LEADER:
@@ -57,7 +58,7 @@
 
 
 def request_join(state: ReplicaState, now: Seconds) -> None:
-    """Ask the group's instances to join, from time to time."""
+    """Ask the known instances to join the group, once per retry interval."""
     if now < state.join_retry_at:
         return
     wait = JOIN_RETRY_HEARTBEATS * state.settings.heartbeat_seconds
@@ -78,7 +79,7 @@
 def handle_join_request(
     state: ReplicaState, message: Message, body: JoinRequest, now: Seconds
 ) -> None:
-    """Answer a replica that is not a member."""
+    """Answer a join request, and keep it if this replica leads the group."""
     if state.genesis is None:
         state.known_identities[message.instance] = message.sender
         _record_waiting_identity(state, message, body, now)
@@ -97,7 +98,7 @@
 def handle_join_reply(
     state: ReplicaState, message: Message, body: JoinReply, now: Seconds
 ) -> None:
-    """Join the group that a member belongs to."""
+    """Join the group of the member that answered a join request."""
     if message.target != state.replica:
         return
     if state.genesis is None:
@@ -111,12 +112,13 @@
     if body.is_leader and state.known_leader != leader:
         state.known_leader = leader
         if state.settings.open_membership:
-            # Only a greeting that answers this leader counts: send it at once.
+            # The leader only accepts a request that names its identity and term,
+            # so one is sent at once.
             state.join_retry_at = now
 
 
 def repair_membership(state: ReplicaState, now: Seconds) -> None:
-    """Swap in one replica that came back with an empty folder, step by step."""
+    """Make the next change of membership that promotes or replaces a replica."""
     if not can_change_membership(state):
         return
     change = _choose_promotion(state, now) or _choose_repair(state, now)
@@ -233,9 +235,10 @@
 
 
 def _is_lost(state: ReplicaState, member: Member, now: Seconds) -> bool:
-    """Whether a member whose instance has another identity now is gone.
+    """Whether a member is lost whose instance now has another identity.
 
-    With open membership an instance is an address, which has one process.
+    With open membership an instance is an address, at which only one process
+    runs, so the earlier identity cannot come back.
     """
     return state.settings.open_membership or _is_silent(state, member, now)
 
--- a/packages/core/src/bergamotwood_core/change.py
+++ b/packages/core/src/bergamotwood_core/change.py
@@ -1,4 +1,4 @@
-"""The configuration after a ticket, and the effects of roll-outs on it."""
+"""Application of tickets, and of the end of roll-outs, to the configuration."""
 
 from dataclasses import replace
 
@@ -18,9 +18,9 @@
 
 
 def merge_ticket(tables: ConfigurationTables, ticket: Ticket) -> ConfigurationTables:
-    """Work out the configuration after a ticket.
+    """Build the configuration after a ticket.
 
-    The ticket is not checked here and the given tables stay as they are.
+    The ticket is not checked, and the given tables are not changed.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
 
 
 def copy_tables(tables: ConfigurationTables) -> ConfigurationTables:
-    """Copy the tables; entities are shared, progress is copied."""
+    """Copy the tables; entities and suspects are shared, progress is copied."""
     return ConfigurationTables(
         index=tables.index,
         ticket=tables.ticket,
@@ -66,7 +66,7 @@
 
 
 def replace_tables(target: ConfigurationTables, source: ConfigurationTables) -> None:
-    """Give one tables object the content of another."""
+    """Replace the content of one tables object with that of another, in place."""
     for name in target.__dataclass_fields__:
         setattr(target, name, getattr(source, name))
 
@@ -82,7 +82,7 @@
     tables : ConfigurationTables
         Changed in place.
     rollout : Rollout
-        The roll-out; its progress is in the tables.
+        The roll-out; its progress is read from the tables.
     """
     model = tables.models.get(ModelName(rollout.model))
     if model is None:
@@ -104,7 +104,7 @@
 
 
 def rebuild_versions(tables: ConfigurationTables) -> None:
-    """Fill the table of versions from the models."""
+    """Rebuild the table of versions from the models."""
     tables.versions = {
         version.version_id: version
         for model in tables.models.values()
@@ -113,7 +113,7 @@
 
 
 def drop_finished_rollouts(tables: ConfigurationTables) -> None:
-    """Drop finished roll-outs that say nothing about the present models."""
+    """Drop finished roll-outs that no longer match the current models."""
     for rollout in list(tables.rollouts.values()):
         if _is_superseded(tables, rollout):
             del tables.rollouts[rollout.key]
--- a/packages/core/src/bergamotwood_core/clock.py
+++ b/packages/core/src/bergamotwood_core/clock.py
@@ -1,4 +1,4 @@
-"""Clocks of the core: time is passed in as seconds that never go back."""
+"""Type of time in the core, which is passed in and never decreases."""
 
 from typing import NewType
 
--- a/packages/core/src/bergamotwood_core/configuration.py
+++ b/packages/core/src/bergamotwood_core/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration entities, as tickets carry them and tables hold them."""
+"""Configuration entities, as sent in tickets and held in tables."""
 
 from typing import Annotated
 
@@ -26,7 +26,7 @@
 
 
 class Entity(BaseModel):
-    """Base of the entities: immutable, unknown fields and infinities refused."""
+    """Base of the entities: immutable, rejects unknown fields, inf and NaN."""
 
     model_config = ConfigDict(frozen=True, extra="forbid", allow_inf_nan=False)
 
@@ -37,7 +37,7 @@
     Parameters
     ----------
     id : VersionId
-        `model:version`.
+        Id in the form `model:version`.
     state : VersionState
         A withdrawn version receives no new work.
     input_price, output_price : float
@@ -51,12 +51,12 @@
 
     @property
     def version_id(self) -> VersionId:
-        """The id with its own type."""
+        """The id as a `VersionId`."""
         return VersionId(self.id)
 
 
 class Model(Entity):
-    """A model with all of its versions; `current` serves new sessions."""
+    """A model with all of its versions; new sessions run on `current`."""
 
     name: Name
     current: VersionName
@@ -69,7 +69,7 @@
 
 
 class Cascade(Entity):
-    """Models tried in order, cheaper before dearer."""
+    """Models tried in order, from the cheapest to the most expensive."""
 
     name: Name
     models: tuple[Name, ...] = Field(min_length=1, max_length=8)
@@ -81,7 +81,10 @@
 
 
 class Service(Entity):
-    """A plain service; `idempotent_paths` widens what may be repeated."""
+    """A plain HTTP service.
+
+    Requests to `idempotent_paths` may be repeated whatever their method.
+    """
 
     name: Name
     idempotent_paths: tuple[str, ...] = Field(max_length=64, default=())
@@ -99,21 +102,21 @@
     Parameters
     ----------
     name : str
-        The workspace.
+        Name of the workspace.
     key_hashes : tuple of str
         SHA-256 of each caller key, in hexadecimal.
     versions : tuple of str
-        Versions that its requests may run on.
+        Model versions that its requests may run on.
     cascades, services : tuple of str
-        What it may name besides models.
+        Cascades and services that its requests may name.
     quality_target : float
-        Wanted mean quality of its answers, 0 to 1.
+        Target for the mean quality of its answers, 0 to 1.
     latency_weight : float
-        Cost units that one second to the first token is worth.
+        Cost units that one second of time to first token is worth.
     share : float
-        Weight among workspaces when capacity is short.
+        Weight in the division of scarce capacity among workspaces.
     max_in_flight : int
-        Requests of the workspace that one entry runs at once.
+        Maximum number of its requests that one entry runs at once.
     """
 
     name: Name
@@ -133,20 +136,20 @@
 
 
 class Rollout(Entity):
-    """A staged move of new sessions from one version to another.
+    """A staged roll-out that moves new sessions from one version to another.
 
     Parameters
     ----------
     name : str
-        The roll-out.
+        Name of the roll-out.
     model, candidate : str
         The model, and the version that is to replace its current one.
     stages : tuple of float
-        Rising shares of new sessions, the last one 1.
+        Increasing shares of new sessions, ending with 1.
     false_stop_rate : float
-        Allowed chance of stopping a candidate that is no worse.
+        Acceptable probability of stopping a candidate that is no worse.
     state : RolloutState
-        What the operator asks for: running, paused or stopped.
+        State that the operator requests: running, paused or stopped.
     """
 
     name: Name
@@ -165,7 +168,7 @@
 
 
 class Removal(Entity):
-    """Names of objects that a ticket takes away."""
+    """Names of objects that a ticket removes."""
 
     workspaces: tuple[Name, ...] = ()
     models: tuple[Name, ...] = ()
@@ -175,7 +178,7 @@
 
 
 class Ticket(Entity):
-    """A numbered change, carrying the whole new state of what it names."""
+    """A numbered change with the complete new state of each object that it names."""
 
     number: int = Field(ge=1, le=2**53)
     note: str = Field(max_length=2_000, default="")
--- a/packages/core/src/bergamotwood_core/control.py
+++ b/packages/core/src/bergamotwood_core/control.py
@@ -67,18 +67,18 @@
     "encode_command",
 ]
 
-# Newest tickets whose answers are kept.
+# Newest accepted tickets that are remembered, to answer a repeated number.
 MAX_TICKETS = 4_096
-# Fingerprints, and crash reports, that are kept.
+# Suspect fingerprints, and crash reports, that are kept.
 MAX_SUSPECTS = 4_096
 MAX_CRASH_REPORTS = 8_192
-# Characters of a note, and names of objects, kept with a ticket's answer.
+# Characters of a note or operator, and names of objects, kept of a ticket.
 MAX_NOTE_CHARACTERS = 200
 MAX_RECORDED_NAMES = 16
 
 
 class TicketRecord(Struct, frozen=True):
-    """An accepted ticket, as the control replicas remember it."""
+    """What the control replicas keep of an accepted ticket."""
 
     number: TicketNumber
     digest: str
@@ -89,7 +89,7 @@
 
 
 class CrashReport(Struct, frozen=True):
-    """One fingerprint on one start of one endpoint."""
+    """Crash of one start of an endpoint while it ran a request fingerprint."""
 
     fingerprint: Fingerprint
     endpoint: EndpointId
@@ -121,10 +121,11 @@
 
 
 class ControlMachine:
-    """Tables that the commands of the control log change.
+    """State machine that applies the commands of the control log to tables.
 
-    Equal on every replica that applied the same commands: no clock, no
-    randomness, and a bad command is answered rather than raised.
+    Its state is identical on every replica that applied the same commands: it
+    uses no clock and no randomness, and answers an invalid command instead of
+    raising an exception.
     """
 
     def __init__(self) -> None:
@@ -138,9 +139,9 @@
         Parameters
         ----------
         index : LogIndex
-            Rises with each call; a lower or equal one changes nothing.
+            Index of the command; one that is not above the last is ignored.
         command : bytes
-            An encoded command; anything else only moves the index.
+            An encoded command; other bytes only advance the index.
 
         Returns
         -------
@@ -171,7 +172,7 @@
         return _ENCODER.encode(state)
 
     def restore(self, content: bytes) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the whole state with that of a snapshot."""
         state = _SNAPSHOTS.decode(content)
         tables = ConfigurationTables(index=state.index, ticket=state.ticket)
         for kind, entity_type in ENTITY_TYPES.items():
@@ -217,7 +218,7 @@
         record = self.records.get(number)
         newest = self.tables.ticket
         if record is None:
-            fault = f"number {number} is not above {newest}, the newest accepted"
+            fault = f"number {number} must be above {newest}, the newest accepted"
             return TicketAnswer(number, TicketOutcome.STALE, faults=(fault,))
         if record.digest == digest:
             return TicketAnswer(number, TicketOutcome.REPEATED, record.index)
--- a/packages/core/src/bergamotwood_core/control_command.py
+++ b/packages/core/src/bergamotwood_core/control_command.py
@@ -15,7 +15,7 @@
 
 
 class ApplyTicket(Struct, frozen=True, tag="ticket"):
-    """Apply a ticket, given as JSON or YAML, for an operator."""
+    """Apply an operator's ticket, given as JSON or YAML."""
 
     ticket: bytes
     operator: str = ""
@@ -29,10 +29,10 @@
     rollout : RolloutId
         The roll-out.
     ticket : TicketNumber
-        Ticket whose roll-out the step was decided for; a step decided for an
-        earlier ticket is refused.
+        Ticket that had last set the roll-out when the step was decided; the
+        step is refused once a later ticket has set the roll-out.
     stage, state, exposed, reason
-        The new progress. Stage and exposure never go back.
+        The new progress. Stage and exposure never decrease.
     """
 
     rollout: RolloutId
@@ -44,7 +44,7 @@
 
 
 class RecordCrash(Struct, frozen=True, tag="crash"):
-    """Record that a fingerprint was running when an endpoint crashed."""
+    """Record that an endpoint crashed while it ran a request fingerprint."""
 
     fingerprint: Fingerprint
     endpoint: EndpointId
@@ -62,14 +62,14 @@
 
 
 class TicketAnswer(Struct, frozen=True, tag="ticket"):
-    """What became of a ticket.
+    """Result of a ticket.
 
     Parameters
     ----------
     number : TicketNumber
-        The ticket; 0 if it could not be read.
+        Number of the ticket; 0 if it could not be read.
     outcome : TicketOutcome
-        Whether it is in the configuration now.
+        Whether it was accepted, and if not, why.
     index : LogIndex
         Index at which it was first accepted, 0 if it was not.
     faults : tuple of str
@@ -83,7 +83,7 @@
 
 
 class CommandAnswer(Struct, frozen=True, tag="command"):
-    """Whether any other command was applied, and if not, why."""
+    """Result of a command other than a ticket: whether it was applied, or why not."""
 
     applied: bool
     reason: str = ""
@@ -103,7 +103,7 @@
 
 
 def decode_command(content: bytes) -> ControlCommand | None:
-    """Decode a command from the log; None if it is no command."""
+    """Decode a command from the log; None if the bytes are not a command."""
     try:
         return _COMMANDS.decode(content)
     except (MsgspecError, UnicodeDecodeError):
--- a/packages/core/src/bergamotwood_core/difference.py
+++ b/packages/core/src/bergamotwood_core/difference.py
@@ -1,4 +1,4 @@
-"""Differences between two configurations, for people."""
+"""Readable differences between two configurations."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -11,12 +11,12 @@
 
 
 class Change(Struct, frozen=True):
-    """One object that differs.
+    """Difference of one object.
 
     Parameters
     ----------
     kind : str
-        `workspace`, `model`, `cascade`, `service` or `rollout`.
+        `workspace`, `model`, `cascade`, `service`, `rollout` or `progress`.
     name : str
         Name of the object.
     action : str
@@ -34,7 +34,7 @@
 def diff_tables(
     before: ConfigurationTables, after: ConfigurationTables
 ) -> tuple[Change, ...]:
-    """List what differs between two configurations.
+    """List the differences between two configurations.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
     Returns
     -------
     tuple of Change
-        By kind, then by name.
+        Ordered by kind, then by name.
     """
     kinds = ("workspace", "model", "cascade", "service", "rollout")
     changes: list[Change] = []
--- a/packages/core/src/bergamotwood_core/document.py
+++ b/packages/core/src/bergamotwood_core/document.py
@@ -1,4 +1,4 @@
-"""Reading of YAML and JSON documents that people write."""
+"""Strict reading of hand-written YAML and JSON documents."""
 
 import json
 from collections.abc import Iterator
@@ -12,9 +12,9 @@
 except ImportError:
     from yaml import SafeLoader
 
-# Bytes that a document may have.
+# Maximum bytes of a document.
 MAX_DOCUMENT_BYTES = 1_048_576
-# Faults that one answer lists.
+# Maximum number of faults that are listed.
 MAX_FAULTS = 100
 
 
@@ -24,7 +24,7 @@
     Parameters
     ----------
     faults : tuple of str
-        Every fault, with its line where it is known.
+        Each fault, with its line where known.
     """
 
     def __init__(self, faults: tuple[str, ...]) -> None:
@@ -35,15 +35,15 @@
 def load_document(text: str | bytes, limit: int = MAX_DOCUMENT_BYTES) -> Any:
     """Read one YAML or JSON document.
 
-    A key that stands twice in a mapping and a YAML alias are faults: the
-    document must mean what a reader sees.
+    Duplicate keys and YAML aliases are faults, since they hide from a reader
+    what the document means.
 
     Parameters
     ----------
     text : str or bytes
         The document; bytes are UTF-8.
     limit : int
-        Largest size in bytes.
+        Maximum size in bytes.
 
     Returns
     -------
@@ -69,12 +69,12 @@
 
 
 def list_faults(error: ValidationError) -> tuple[str, ...]:
-    """Describe each fault of a validation with its place and value.
+    """Describe each error of a validation with its place and value.
 
     Parameters
     ----------
     error : ValidationError
-        What pydantic found.
+        Error raised by pydantic.
 
     Returns
     -------
@@ -122,7 +122,7 @@
         return joined
     names = [name for name, _ in pairs]
     repeated = sorted({name for name in names if names.count(name) > 1})
-    raise DocumentError(tuple(f"key {name!r} stands twice" for name in repeated))
+    raise DocumentError(tuple(f"duplicate key {name!r}" for name in repeated))
 
 
 def _load_yaml(text: str) -> Any:
@@ -171,5 +171,5 @@
     for key, _ in node.value:
         name = str(key.value)
         if name in seen:
-            yield f"line {key.start_mark.line + 1}: key {name!r} stands twice"
+            yield f"line {key.start_mark.line + 1}: duplicate key {name!r}"
         seen.add(name)
--- a/packages/core/src/bergamotwood_core/election.py
+++ b/packages/core/src/bergamotwood_core/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes and the promise made to a leader."""
+"""Elections: pre-votes, votes and refusing them while a leader is heard."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import LogIndex, Term
@@ -16,7 +16,7 @@
 
 
 def start_pre_vote(state: ReplicaState, now: Seconds) -> None:
-    """Ask whether an election could be won, without a new term."""
+    """Ask the voters whether an election could be won, without a new term."""
     state.role = Role.PRE_CANDIDATE
     state.leader = None
     state.votes = {state.replica}
@@ -31,7 +31,7 @@
 
 
 def start_election(state: ReplicaState, now: Seconds, transfer: bool) -> None:
-    """Stand for election in a new term."""
+    """Start an election in a new term as its candidate."""
     state.save_hard_state(HardState(Term(state.term + 1), state.replica))
     state.role = Role.CANDIDATE
     state.leader = None
@@ -46,7 +46,7 @@
 def answer_pre_vote(
     state: ReplicaState, message: Message, body: PreVoteRequest, now: Seconds
 ) -> None:
-    """Say whether a vote would be granted."""
+    """Answer whether this replica would grant its vote."""
     granted = (
         body.proposed_term > state.term
         and not _has_live_leader(state, now)
@@ -59,7 +59,7 @@
 def answer_vote(
     state: ReplicaState, message: Message, body: VoteRequest, now: Seconds
 ) -> None:
-    """Give the vote of the term, at most once."""
+    """Grant the vote of the term to at most one candidate."""
     granted = (
         state.role is Role.FOLLOWER
         and state.leader is None
@@ -73,14 +73,17 @@
 
 
 def refuses_election(state: ReplicaState, body: VoteRequest, now: Seconds) -> bool:
-    """Whether a vote in a later term is to be dropped unread."""
+    """Whether to ignore a vote request of a later term, since a leader is heard.
+
+    A request that the leader started itself is not ignored.
+    """
     return not body.transfer and _has_live_leader(state, now)
 
 
 def count_pre_vote(
     state: ReplicaState, message: Message, body: PreVoteReply, now: Seconds
 ) -> None:
-    """Count an answer; a majority starts the election."""
+    """Count a granted pre-vote; a majority starts the election."""
     proposed = Term(state.term + 1)
     if state.role is not Role.PRE_CANDIDATE or body.proposed_term != proposed:
         return
@@ -94,7 +97,7 @@
 def count_vote(
     state: ReplicaState, message: Message, body: VoteReply, now: Seconds
 ) -> None:
-    """Count a vote; a majority of the voters makes a leader."""
+    """Count a granted vote; a majority of the voters makes this replica leader."""
     if state.role is not Role.CANDIDATE or not body.granted:
         return
     state.votes.add(message.sender)
--- a/packages/core/src/bergamotwood_core/errors.py
+++ b/packages/core/src/bergamotwood_core/errors.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the exception tree."""
+"""Numbered result codes and the exception hierarchy."""
 
 from enum import IntEnum
 
@@ -102,18 +102,18 @@
 
 
 class BergamotwoodError(Exception):
-    """Root of the exception tree.
+    """Base class of all exceptions of this project.
 
     Parameters
     ----------
     detail : str
-        What went wrong and where, for a person.
+        Readable description of what went wrong and where.
     code : Code, optional
         Result code; defaults to the one of the class.
     run : Run, optional
         Whether the request ran; defaults to the one of the class.
     retry_after : float, optional
-        Seconds after which a retry is worth trying.
+        Seconds after which the caller should retry.
     """
 
     code = Code.INTERNAL
@@ -148,21 +148,21 @@
 
 
 class AuthorizationError(BergamotwoodError):
-    """The caller may not do this."""
+    """The caller is not authenticated or not authorized."""
 
     code = Code.UNAUTHENTICATED
     run = Run.NOT_RUN
 
 
 class RefusedError(BergamotwoodError):
-    """A valid request that is not run now."""
+    """A valid request is not run at this time."""
 
     code = Code.OVERLOADED
     run = Run.NOT_RUN
 
 
 class IdempotencyError(BergamotwoodError):
-    """A key that cannot be used again in this way."""
+    """An idempotency key cannot be used again in this way."""
 
     code = Code.KEY_CONFLICT
     run = Run.NOT_RUN
@@ -176,16 +176,16 @@
 
 
 class TicketError(BergamotwoodError):
-    """A ticket that is refused.
+    """A ticket was refused.
 
     Parameters
     ----------
     detail : str
-        Summary for a person.
+        Readable summary.
     code : Code
-        Which kind of refusal.
+        Reason for the refusal.
     faults : tuple of str
-        Every fault, each naming its place in the ticket.
+        Each fault with its place in the ticket.
     """
 
     code = Code.TICKET_INVALID
@@ -199,7 +199,7 @@
 
 
 class ReplicationError(BergamotwoodError):
-    """A log group cannot take a command."""
+    """A log group cannot commit a command."""
 
     code = Code.NO_QUORUM
 
@@ -210,9 +210,9 @@
     Parameters
     ----------
     detail : str
-        Which group.
+        Group and reason.
     leader : str or None
-        The replica believed to lead.
+        Instance believed to lead.
     """
 
     code = Code.NOT_LEADER
@@ -224,20 +224,20 @@
 
 
 class LogCorruptError(BergamotwoodError):
-    """The log on disk is damaged before its tail."""
+    """The log on disk is damaged before its tail, or contradicts the leader's."""
 
     code = Code.LOG_CORRUPT
 
 
 class SettingsError(BergamotwoodError):
-    """Settings that cannot be used.
+    """The settings are not valid.
 
     Parameters
     ----------
     detail : str
         The settings file.
     faults : tuple of str
-        Every fault with its key, value and what is allowed.
+        Each fault with its key, its value and what is allowed.
     """
 
     code = Code.SETTINGS_INVALID
@@ -249,18 +249,18 @@
 
 
 class AnswerError(BergamotwoodError):
-    """An instance answered an operator with a refusal.
+    """An instance refused an operator's request.
 
     Parameters
     ----------
     detail : str
-        What the instance said.
+        Detail of the answer.
     code : Code
         Result code of the answer.
     status : int
         HTTP status of the answer.
     faults : tuple of str
-        Every fault that the answer lists.
+        Faults listed in the answer.
     """
 
     run = Run.NOT_RUN
@@ -274,8 +274,8 @@
 
 
 class UnreachableError(BergamotwoodError):
-    """No instance answered an operator."""
+    """No instance answered the operator's request."""
 
 
 class WaitError(BergamotwoodError):
-    """An operator's wait ended before what it was for."""
+    """The operator's wait ended before the awaited state was reached."""
--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -1,4 +1,4 @@
-"""The follower's part: taking entries and snapshots from the leader."""
+"""Replication on a follower: takes entries and snapshots from the leader."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.errors import LogCorruptError
@@ -18,7 +18,7 @@
 def handle_append(
     state: ReplicaState, message: Message, body: AppendRequest, now: Seconds
 ) -> None:
-    """Take entries that follow the own log; else say where to look."""
+    """Append entries that fit the log, or answer with the index to try next."""
     _follow_leader(state, message, now)
     if not _fits_log(state, body):
         hint = _find_match_hint(state, body.previous_index)
@@ -34,7 +34,7 @@
 def handle_snapshot_part(
     state: ReplicaState, message: Message, body: SnapshotPart, now: Seconds
 ) -> None:
-    """Collect a snapshot, and install it when it is whole."""
+    """Collect the parts of a snapshot, and install it once it is complete."""
     _follow_leader(state, message, now)
     if body.index > state.commit:
         received = _add_part(state, body)
@@ -54,7 +54,7 @@
     body: AppendRequest | SnapshotPart,
     now: Seconds,
 ) -> None:
-    """Tell a leader of an earlier term that a later one exists."""
+    """Reject a message from a leader of an earlier term with the current term."""
     time = state.get_time(now)
     reply = AppendReply(False, LogIndex(0), LogIndex(0), body.sent, time)
     state.send(message.instance, message.sender, reply)
@@ -86,7 +86,9 @@
         if entry.index <= log.start or log.find_term(entry.index) == entry.term:
             continue
         if entry.index <= state.commit:
-            raise LogCorruptError(f"committed entry {entry.index} contradicted")
+            raise LogCorruptError(
+                f"the leader sent another entry for committed index {entry.index}"
+            )
         state.append_entries(entries[at:])
         return
 
@@ -95,7 +97,8 @@
     if body.age is None or body.echo.session != state.session:
         return
     if state.commit >= body.commit:
-        # The heartbeat was sent after the stamp that it echoes.
+        # The leader sent this after the clock reading that it echoes, so on this
+        # clock its confirmed time is at least as late.
         state.confirm(Seconds(body.echo.at - body.age))
 
 
@@ -127,7 +130,7 @@
     data = bytes(state.incoming.data)
     state.incoming = None
     if state.log.find_term(body.index) == body.term:
-        # Entries after it may have been acknowledged, so the log stays.
+        # Later entries may have been acknowledged, so the log is kept.
         state.commit_to(body.index)
         return
     snapshot = Snapshot(body.index, body.term, body.membership, data)
--- a/packages/core/src/bergamotwood_core/ids.py
+++ b/packages/core/src/bergamotwood_core/ids.py
@@ -1,4 +1,4 @@
-"""Distinct types for the identifiers that travel through the system."""
+"""Distinct types for the identifiers of the system."""
 
 from typing import NewType
 
--- a/packages/core/src/bergamotwood_core/key_table.py
+++ b/packages/core/src/bergamotwood_core/key_table.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: claims, answers and the marks of expired keys."""
+"""Idempotency keys: claims, stored answers and hashes of expired keys."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -32,42 +32,43 @@
 from bergamotwood_core.states import ClaimState
 from bergamotwood_core.watermark import parse_request_id
 
-# Keys with their whole record, and expired keys of which a hash is kept.
+# Keys with a full record, and expired keys of which only a hash is kept.
 MAX_KEYS = 20_000
 MAX_EXPIRED_KEYS = 200_000
 # Seconds of log time after which the hash of an expired key may be dropped.
 KEY_RETENTION_SECONDS = 7 * 86_400.0
 # Seconds of log time after which a held claim counts as unknown.
 CLAIM_EXPIRY_SECONDS = 3_600.0
-# Bytes of one stored answer, and of all of them.
+# Bytes of one stored answer, and of all stored answers together.
 MAX_ANSWER_BYTES = 1_048_576
 MAX_TOTAL_ANSWER_BYTES = 16_777_216
-# Tokens given up that are remembered.
+# Released tokens that are remembered, so that a late claim with one is refused.
 MAX_RELEASED_TOKENS = 4_096
 KEY_HASH_BYTES = 8
 
+# A caller's key, scoped to its workspace.
 Scope = tuple[WorkspaceId, IdempotencyKey]
 
 
 class KeyRecord(Struct):
-    """What is known of one key.
+    """Record of one key.
 
     Parameters
     ----------
     digest : str
-        Digest of the request that it was first used for.
+        Digest of the request for which it was first used.
     state : ClaimState
-        Held, done or unknown.
+        State of the claim: held, done or unknown.
     token : str
         Token of the holder; empty for a key that needed no claim.
     request : RequestId
-        Request that used it first.
+        Request that first used it.
     at : float
-        Log time of that, in seconds.
+        Log time of the first use, in seconds.
     answer : StoredAnswer or None
-        The kept answer.
+        The stored answer, if it is kept.
     billed : RequestId or None
-        Request whose bill stands.
+        Request whose bill is recorded for the key.
     """
 
     digest: str
@@ -80,16 +81,16 @@
 
 
 class KeyTable:
-    """Keys of all workspaces, bounded.
+    """Bounded table of the idempotency keys of all workspaces.
 
-    The oldest keys that are not held make room for new ones and leave a hash,
-    so that an expired key is refused rather than run again. When there is no
-    room for hashes either, the oldest hash goes once it is `KEY_RETENTION_SECONDS` old;
-    until then new keys are refused.
+    When it is full, the oldest key that is not held expires and leaves a hash,
+    so that a request with an expired key is refused rather than run again. When
+    the hashes are full too, the oldest is dropped once it is
+    `KEY_RETENTION_SECONDS` old; until then new keys are refused.
     """
 
     def __init__(self) -> None:
-        # Ordered dictionaries, since the oldest item is taken out again and again.
+        # An OrderedDict removes its oldest item in constant time, a dict does not.
         self.records: OrderedDict[Scope, KeyRecord] = OrderedDict()
         self.expired: OrderedDict[bytes, float] = OrderedDict()
         self.released: OrderedDict[str, None] = OrderedDict()
@@ -98,7 +99,7 @@
         self._held: dict[Scope, None] = {}
 
     def claim(self, command: Claim, now: float) -> ClaimAnswer:
-        """Grant a claim, or say why not."""
+        """Grant a claim, or answer why it is not granted."""
         scope = (command.workspace, command.key)
         record = self.records.get(scope)
         if record is not None:
@@ -119,7 +120,7 @@
         return Granted() if self.add(scope, record, now) else Full()
 
     def add(self, scope: Scope, record: KeyRecord, now: float) -> bool:
-        """Add a new key, if there is room."""
+        """Add a new key; False if there is no room."""
         if len(self.records) >= MAX_KEYS and not self._expire_oldest(now):
             return False
         self.records[scope] = record
@@ -128,7 +129,7 @@
         return True
 
     def release(self, command: Release) -> bool:
-        """Give up a claim; its token never holds one again."""
+        """Release a claim; its token cannot hold one again."""
         scope = (command.workspace, command.key)
         record = self.records.get(scope)
         is_holder = record is not None and record.token == command.token
@@ -168,7 +169,7 @@
         return self._mark_unknown(scopes)
 
     def expire_claims(self, now: float) -> int:
-        """Mark the claims that were held too long as unknown."""
+        """Mark claims held for longer than `CLAIM_EXPIRY_SECONDS` as unknown."""
         scopes = [
             scope
             for scope in self._held
@@ -177,7 +178,7 @@
         return self._mark_unknown(scopes)
 
     def rebuild(self) -> None:
-        """Fill what follows from the records, after a restore."""
+        """Rebuild the state derived from the records, after a restore."""
         self._held = {
             scope: None
             for scope, record in self.records.items()
@@ -221,7 +222,7 @@
 
 
 def hash_scope(scope: Scope) -> bytes:
-    """Hash a workspace and key to the form in which expired keys are kept."""
+    """Hash a workspace and key, to remember an expired key."""
     workspace, key = scope
     content = f"{len(workspace)}:{workspace}{key}".encode()
     return blake2b(content, digest_size=KEY_HASH_BYTES).digest()
--- a/packages/core/src/bergamotwood_core/ledger.py
+++ b/packages/core/src/bergamotwood_core/ledger.py
@@ -84,7 +84,7 @@
     "encode_command",
 ]
 
-# Seconds that one tick may let pass.
+# Maximum log time that one tick adds.
 MAX_TICK_SECONDS = 3_600.0
 
 
@@ -107,10 +107,11 @@
 
 
 class LedgerMachine:
-    """Keys, bills and windows that the commands of the ledger's log change.
+    """State machine that applies the commands of the ledger's log.
 
-    Equal on every replica that applied the same commands: its time passes by
-    `Tick` commands only, and a bad command is answered rather than raised.
+    Its keys, bills and windows are identical on every replica that applied the
+    same commands: time advances by `Tick` commands only, and an invalid command
+    is answered instead of raising an exception.
     """
 
     def __init__(self) -> None:
@@ -126,9 +127,9 @@
         Parameters
         ----------
         index : LogIndex
-            Rises with each call; a lower or equal one changes nothing.
+            Index of the command; one that is not above the last is ignored.
         command : bytes
-            An encoded command; anything else only moves the index.
+            An encoded command; other bytes only advance the index.
 
         Returns
         -------
@@ -146,40 +147,40 @@
     def find_claim(
         self, workspace: WorkspaceId, key: IdempotencyKey
     ) -> KeyRecord | None:
-        """Find what is known of a caller's key."""
+        """Find the record of a caller's key."""
         return self.keys.records.get((workspace, key))
 
     def is_expired(self, workspace: WorkspaceId, key: IdempotencyKey) -> bool:
-        """Tell whether a key was used too long ago for its record to be kept."""
+        """Tell whether a key was used, but its record is no longer kept."""
         return hash_scope((workspace, key)) in self.keys.expired
 
     def find_bill(self, request: RequestId) -> Bill | None:
-        """Find the bill of a request, if it is among the newest."""
+        """Find the bill of a request, if it is still kept."""
         return self.bills.bills.get(request)
 
     def find_bill_of_key(
         self, workspace: WorkspaceId, key: IdempotencyKey
     ) -> Bill | None:
-        """Find the bill of a caller's key, if it is among the newest."""
+        """Find the bill of a caller's key, if it is still kept."""
         record = self.find_claim(workspace, key)
         if record is None or record.billed is None:
             return None
         return self.find_bill(record.billed)
 
     def list_bills(self, workspace: WorkspaceId | None, limit: int) -> list[Bill]:
-        """List the newest bills of a workspace, or of all, newest first."""
+        """List the newest bills of one or all workspaces, newest first."""
         return self.bills.list(workspace, limit)
 
     def total(self, workspace: WorkspaceId) -> Total:
-        """Sum every bill of a workspace."""
+        """Return the total of all bills of a workspace."""
         return self.bills.totals.get(workspace, Total())
 
     def list_totals(self) -> dict[WorkspaceId, Total]:
-        """List the totals of all workspaces that were billed."""
+        """Return the total of each workspace that was billed."""
         return dict(self.bills.totals)
 
     def count_entities(self) -> dict[str, int]:
-        """Count what grows, for metrics."""
+        """Return the sizes of the tables, for metrics."""
         return {
             "keys": len(self.keys.records),
             "held_claims": self.keys.count_held(),
@@ -206,7 +207,7 @@
         return _ENCODER.encode(state)
 
     def restore(self, content: bytes) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the whole state with that of a snapshot."""
         state = _SNAPSHOTS.decode(content)
         self.index = state.index
         self.now = state.now
@@ -300,7 +301,7 @@
         return answer
 
     def _void_bill(self, bill: Bill) -> LedgerAnswer:
-        """Take a bill back, and keep one that is still under way from standing."""
+        """Remove a bill; one that is not recorded yet is refused when it arrives."""
         if not is_valid(bill):
             return BillAnswer(BillOutcome.INVALID, bill.request)
         origin = parse_request_id(bill.request)
--- a/packages/core/src/bergamotwood_core/logentries.py
+++ b/packages/core/src/bergamotwood_core/logentries.py
@@ -1,4 +1,4 @@
-"""Entries of a replicated log, and the part of the log held in memory."""
+"""Entries of a replicated log, records on disk, and the log held in memory."""
 
 from enum import IntEnum
 
@@ -9,7 +9,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry carries."""
+    """Kind of content of a log entry."""
 
     COMMAND = 0
     NOOP = 1
@@ -22,15 +22,15 @@
     Parameters
     ----------
     index : LogIndex
-        Place in the log, from 1.
+        Index in the log, from 1.
     term : Term
         Term of the leader that appended it.
     kind : EntryKind
-        What it carries.
+        Kind of content.
     command : bytes
-        For the state machine.
+        Command for the state machine.
     membership : Membership or None
-        Members from this entry on.
+        Members from this entry on; set in membership entries only.
     """
 
     index: LogIndex
@@ -41,25 +41,25 @@
 
 
 class LogStart(Struct, frozen=True, array_like=True, tag="base"):
-    """Record: the log file begins after the snapshot of this index."""
+    """Record: the log file starts after the snapshot at this index."""
 
     index: LogIndex
 
 
 class Identity(Struct, frozen=True, array_like=True, tag="identity"):
-    """Record: the replica's identity, made with its data folder."""
+    """Record: the replica's identity, generated with its data folder."""
 
     replica: ReplicaId
 
 
 class JoinedGroup(Struct, frozen=True, array_like=True, tag="binding"):
-    """Record: the group that the replica belongs to, for good."""
+    """Record: the group that the replica belongs to permanently."""
 
     genesis: Genesis
 
 
 class HardState(Struct, frozen=True, array_like=True, tag="state"):
-    """Record: the newest term and the vote given in it."""
+    """Record: the current term and the vote given in it."""
 
     term: Term = Term(0)
     vote: ReplicaId = ReplicaId("")
@@ -77,11 +77,11 @@
     Parameters
     ----------
     index, term : int
-        The last entry that the state contains.
+        Index and term of the last entry that the state contains.
     membership : Membership
         Members at that entry.
     data : bytes
-        From `StateMachine.snapshot`.
+        State, as returned by `StateMachine.snapshot`.
     """
 
     index: LogIndex
@@ -94,7 +94,7 @@
 
 
 class SavedState(Struct, frozen=True):
-    """What a replica finds in its data folder at a start."""
+    """State that a replica reads from its data folder when it starts."""
 
     replica: ReplicaId
     genesis: Genesis | None = None
@@ -104,12 +104,12 @@
 
 
 class EntryLog:
-    """Entries after a starting point, and the memberships they set.
+    """Log entries after a starting index, and the memberships that they set.
 
     Parameters
     ----------
     start : LogIndex
-        Index before the first held entry.
+        Index before the first entry held.
     start_term : Term
         Term of the entry at `start`.
     membership : Membership
@@ -148,7 +148,7 @@
         return self._memberships[-1][0]
 
     def find_membership(self, index: LogIndex) -> Membership:
-        """Return the members as of an entry."""
+        """Return the membership that applies at an index."""
         held = [members for at, members in self._memberships if at <= index]
         return held[-1]
 
@@ -163,7 +163,7 @@
     def get_entries(
         self, first: LogIndex, last: LogIndex, limit_bytes: int | None = None
     ) -> tuple[Entry, ...]:
-        """Return held entries of an index range, at least one, up to a size."""
+        """Return the entries of an index range, up to a size but at least one."""
         low = first - self.start - 1
         found = self._entries[low : last - self.start]
         if limit_bytes is None:
@@ -176,21 +176,21 @@
         return tuple(found)
 
     def append(self, entry: Entry) -> None:
-        """Add the next entry, removing all from its index on."""
+        """Append an entry, replacing any entries from its index on."""
         self._truncate(entry.index)
         self._entries.append(entry)
         if entry.membership is not None:
             self._memberships.append((entry.index, entry.membership))
 
     def find_conflict(self, index: LogIndex) -> LogIndex:
-        """Return the index before the run of entries that share a term."""
+        """Return the index before the run of entries with the term of this one."""
         term = self.find_term(index)
         while index > self.start and self.find_term(index) == term:
             index = LogIndex(index - 1)
         return index
 
     def compact(self, index: LogIndex) -> None:
-        """Let go of the entries up to an index."""
+        """Drop the entries up to an index."""
         if index <= self.start:
             return
         term = self.find_term(index)
--- a/packages/core/src/bergamotwood_core/logmessages.py
+++ b/packages/core/src/bergamotwood_core/logmessages.py
@@ -10,7 +10,7 @@
 
 
 class FollowerTime(Struct, frozen=True, array_like=True):
-    """A time on a follower's own clock, valid within one run of its process."""
+    """A reading of a follower's clock, valid within one run of its process."""
 
     session: int
     at: Seconds
@@ -20,18 +20,18 @@
 
 
 class JoinRequest(Struct, frozen=True, array_like=True, tag=1):
-    """A replica that is not a member asks to join, or to form the group.
+    """Request of a replica to join a group, or to form one.
 
     Parameters
     ----------
     voters : tuple of InstanceId
-        Initial voters in its settings.
+        Initial voters in the sender's settings.
     in_group : bool
-        Whether it belongs to a group already.
+        Whether the sender belongs to a group already.
     receiver : ReplicaId
-        Identity that it last heard from the receiver.
+        Identity that the sender last heard from the receiver, or empty.
     receiver_term : Term
-        Term in which the receiver last said that it leads.
+        Term in which the receiver last answered that it leads, or 0.
     """
 
     voters: tuple[InstanceId, ...]
@@ -41,16 +41,16 @@
 
 
 class JoinReply(Struct, frozen=True, array_like=True, tag=2):
-    """Answer of a member to `Hello`.
+    """Answer of a member to `JoinRequest`.
 
     Parameters
     ----------
     genesis : Genesis
-        The group.
+        The group of the sender.
     is_leader : bool
-        Whether the sender leads it.
+        Whether the sender leads the group.
     member_instances : tuple of InstanceId
-        Where its members run now, as far as the sender knows.
+        Instances of the members, as far as the sender knows.
     """
 
     genesis: Genesis
@@ -59,7 +59,7 @@
 
 
 class PreVoteRequest(Struct, frozen=True, array_like=True, tag=3):
-    """Ask whether an election in a new term could be won."""
+    """Question whether an election in a new term could be won."""
 
     proposed_term: Term
     last_index: LogIndex
@@ -67,21 +67,21 @@
 
 
 class PreVoteReply(Struct, frozen=True, array_like=True, tag=4):
-    """Answer to `PreVote`; binds the sender to nothing."""
+    """Answer to `PreVoteRequest`; commits the sender to nothing."""
 
     proposed_term: Term
     granted: bool
 
 
 class VoteRequest(Struct, frozen=True, array_like=True, tag=5):
-    """Ask for the vote of the message's term.
+    """Request for the vote of the message's term.
 
     Parameters
     ----------
     last_index, last_term : int
-        End of the candidate's log.
+        Index and term of the last entry in the candidate's log.
     transfer : bool
-        The leader asked for this election, and gave its lease up first.
+        Whether the leader asked for this election, after it gave up its lease.
     """
 
     last_index: LogIndex
@@ -90,28 +90,29 @@
 
 
 class VoteReply(Struct, frozen=True, array_like=True, tag=6):
-    """Answer to `Vote`."""
+    """Answer to `VoteRequest`."""
 
     granted: bool
 
 
 class AppendRequest(Struct, frozen=True, array_like=True, tag=7):
-    """Entries, or a heartbeat when there are none.
+    """Entries to append; a heartbeat when there are none.
 
     Parameters
     ----------
     previous_index, previous_term : int
-        The entry before the first one sent.
+        Index and term of the entry before the first one sent.
     entries : tuple of Entry
-        What follows it.
+        Entries that follow it.
     commit : LogIndex
-        Last committed entry.
+        Index of the last committed entry.
     sent : Seconds
         Time on the leader's clock, returned in the reply.
     echo : FollowerTime
-        Newest stamp that the leader has from the receiver.
+        Newest clock reading that the leader has from the receiver.
     age : float or None
-        Seconds since the newest majority-confirmed round was sent.
+        Seconds since the leader sent the newest messages that a majority
+        acknowledged; None when it has no such time yet.
     """
 
     previous_index: LogIndex
@@ -124,20 +125,21 @@
 
 
 class AppendReply(Struct, frozen=True, array_like=True, tag=8):
-    """Answer to `Append`, and to the last part of a snapshot.
+    """Answer to `AppendRequest`, and to the last part of a snapshot.
 
     Parameters
     ----------
     accepted : bool
-        Whether the previous entry was found.
+        Whether the log contains the previous entry.
     previous : LogIndex
         `previous_index` of the request.
     match : LogIndex
-        Last entry known to be equal, when accepted; else where to look next.
+        When accepted, the last index at which both logs are known to be equal;
+        otherwise the index to try next.
     sent : Seconds
-        From the request.
+        `sent` of the request.
     follower_time : FollowerTime
-        Time on the follower's clock.
+        Reading of the follower's clock.
     """
 
     accepted: bool
@@ -148,18 +150,18 @@
 
 
 class SnapshotPart(Struct, frozen=True, array_like=True, tag=9):
-    """A part of a snapshot.
+    """A part of a snapshot that is sent in several messages.
 
     Parameters
     ----------
     index, term, membership : LogIndex, Term, Membership
         As in `Snapshot`.
     offset : int
-        Place of `data` in the snapshot's bytes.
+        Offset of `data` in the bytes of the snapshot.
     data : bytes
-        The part.
+        Bytes of the part.
     size : int
-        Bytes of the whole snapshot.
+        Size of the whole snapshot in bytes.
     sent : Seconds
         Time on the leader's clock, returned in the reply.
     """
@@ -174,7 +176,7 @@
 
 
 class SnapshotReply(Struct, frozen=True, array_like=True, tag=10):
-    """Answer to `SnapshotPart`: how many bytes are there."""
+    """Answer to `SnapshotPart`: the number of bytes received so far."""
 
     index: LogIndex
     offset: int
@@ -183,7 +185,7 @@
 
 
 class StartElection(Struct, frozen=True, array_like=True, tag=11):
-    """The leader hands over to the receiver."""
+    """Request to start an election at once, since the leader transfers leadership."""
 
 
 Body = (
@@ -207,15 +209,15 @@
     Parameters
     ----------
     instance : InstanceId
-        Where the sender runs.
+        Instance on which the sender runs.
     sender, target : ReplicaId
-        Identities; the target of a `Hello` is empty.
+        Identities; the target of a `JoinRequest` is empty.
     genesis : str
-        The group, empty when the sender has none.
+        Id of the group, empty when the sender has none.
     term : Term
         The sender's term.
     body : Body
-        What it says.
+        Content of the message.
     """
 
     instance: InstanceId
@@ -231,16 +233,16 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as bytes."""
+    """Encode a message."""
     return _ENCODER.encode(message)
 
 
 def decode_message(data: bytes) -> Message:
-    """Return the message that bytes hold.
+    """Decode a message.
 
     Raises
     ------
     msgspec.MsgspecError
-        When they hold none.
+        When the bytes are not a message.
     """
     return _DECODER.decode(data)
--- a/packages/core/src/bergamotwood_core/machine.py
+++ b/packages/core/src/bergamotwood_core/machine.py
@@ -1,4 +1,4 @@
-"""The state machine that a replicated log drives."""
+"""Interface of the state machine that a replicated log drives."""
 
 from typing import Protocol
 
@@ -14,21 +14,21 @@
         Parameters
         ----------
         index : LogIndex
-            Place of the command in the log; rises with each call.
+            Index of the command in the log; increases with each call.
         command : bytes
-            What was proposed.
+            The command as it was proposed.
 
         Returns
         -------
         bytes
-            Answer for the proposer; equal on every replica.
+            Answer for the proposer; identical on every replica.
         """
         ...
 
     def snapshot(self) -> bytes:
-        """Return the whole state, for `restore`."""
+        """Return the whole state in a form that `restore` reads."""
         ...
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state by one that `snapshot` returned."""
+        """Replace the whole state with one that `snapshot` returned."""
         ...
--- a/packages/core/src/bergamotwood_core/membership.py
+++ b/packages/core/src/bergamotwood_core/membership.py
@@ -1,4 +1,4 @@
-"""Members of a log group, and the changes of one member at a time."""
+"""Members of a log group, and changes of one member at a time."""
 
 from collections.abc import Iterable
 
@@ -13,11 +13,11 @@
     Parameters
     ----------
     instance : InstanceId
-        Where it runs.
+        Instance on which it runs.
     replica : ReplicaId
-        Identity made with its data folder.
+        Identity, generated together with its data folder.
     voting : bool
-        A voter counts for majorities, a learner only receives the log.
+        Whether it counts toward majorities; a learner only receives the log.
     """
 
     instance: InstanceId
@@ -26,7 +26,7 @@
 
 
 class AddLearner(Struct, frozen=True):
-    """Add a replica that does not vote."""
+    """Add a replica as a learner, which does not vote."""
 
     instance: InstanceId
     replica: ReplicaId
@@ -39,7 +39,7 @@
 
 
 class Remove(Struct, frozen=True):
-    """Take a replica out of the group."""
+    """Remove a replica from the group."""
 
     replica: ReplicaId
 
@@ -54,7 +54,7 @@
 
     @property
     def voters(self) -> tuple[ReplicaId, ...]:
-        """Identities that count for majorities."""
+        """Identities that count toward majorities."""
         return tuple(member.replica for member in self.members if member.voting)
 
     @property
@@ -77,21 +77,21 @@
         return None
 
     def is_voter(self, replica: ReplicaId) -> bool:
-        """Whether this identity counts for majorities."""
+        """Whether this identity counts toward majorities."""
         return replica in self.voters
 
     def has_quorum(self, replicas: Iterable[ReplicaId]) -> bool:
-        """Whether these identities hold a majority of the voters."""
+        """Whether these identities include a majority of the voters."""
         return len(set(replicas).intersection(self.voters)) >= self.quorum
 
 
 class Genesis(Struct, frozen=True, array_like=True):
-    """First membership of a group, recorded once by each replica.
+    """First membership of a group, saved once by each replica.
 
     Parameters
     ----------
     id : str
-        Names the group for good; messages of another id are dropped.
+        Permanent id of the group; messages with another id are dropped.
     membership : Membership
         The identities of the initial voters.
     """
@@ -106,7 +106,7 @@
     Raises
     ------
     ValueError
-        When the change does not fit the members.
+        When the change is not possible with these members.
     """
     match change:
         case AddLearner(instance, replica):
--- a/packages/core/src/bergamotwood_core/progress.py
+++ b/packages/core/src/bergamotwood_core/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each other member."""
+"""Replication progress of the members, as known to the leader."""
 
 from dataclasses import dataclass, field
 
@@ -12,28 +12,28 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Replication to one member.
+    """Replication progress of one member.
 
     Parameters
     ----------
     next : LogIndex
-        First entry to send next.
+        Index of the next entry to send.
     match : LogIndex
-        Last entry known to be on the member's disk.
+        Index of the last entry known to be on the member's disk.
     probing : bool
-        Whether the end of the member's log is still looked for.
+        Whether the last entry in common with the member is still unknown.
     acked_sent_at : Seconds
-        Leader's time at which the newest acknowledged message was sent.
+        When the newest acknowledged message was sent, on the leader's clock.
     acked_at : Seconds
-        When the newest acknowledgement came.
+        When the newest acknowledgement was received.
     follower_time : FollowerTime
-        Newest time of the member's own clock.
+        Newest reading of the member's own clock.
     snapshot : Snapshot or None
-        What is being sent in parts.
+        Snapshot that is being sent in parts, if any.
     offset : int
-        Bytes of the snapshot that the member has.
+        Bytes of the snapshot that the member has received.
     resend_at : Seconds
-        While probing or sending a snapshot, when to send the same again.
+        When to repeat an unanswered probe or part of a snapshot.
     """
 
     next: LogIndex
@@ -49,24 +49,24 @@
 
 @dataclass
 class Leadership:
-    """State that exists while a replica leads.
+    """State that a replica has only while it leads.
 
     Parameters
     ----------
     elected_at : Seconds
         When it won the election.
     first_index : LogIndex
-        The first entry of its term.
+        Index of the first entry of its term.
     progress : dict
-        For each other member.
+        Progress of each other member.
     join_requests : dict
-        Identity that asks to join, for each instance.
+        Identity that asks to join, by instance.
     transfer_to : ReplicaId or None
-        Whom it hands over to.
+        Voter to which it transfers leadership, if any.
     transfer_until : Seconds
-        When it steps down anyway.
+        When it steps down even if the transfer has not succeeded.
     synced_index : LogIndex
-        Last entry on its own disk.
+        Index of the last entry on its own disk.
     next_heartbeat : Seconds
         When it sends the next heartbeat.
     """
--- a/packages/core/src/bergamotwood_core/replica.py
+++ b/packages/core/src/bergamotwood_core/replica.py
@@ -1,8 +1,8 @@
-"""A consensus replica: messages and time in, effects out.
+"""A consensus replica that does no input or output of its own.
 
-The driver calls `step`, `tick` and the others, takes the effects, and carries
-them out in their order before the next call. After the records are on disk it
-calls `mark_synced`.
+The driver passes in messages and the time through `step`, `tick` and the other
+methods, takes the resulting effects and carries them out in order before it
+calls again. Once the records are on disk it calls `mark_synced`.
 """
 
 from random import Random
@@ -69,13 +69,13 @@
     Parameters
     ----------
     settings : ReplicaSettings
-        Its settings.
+        Settings of the replica.
     saved : SavedState
-        What its data folder holds.
+        State read from the data folder.
     session : int
-        Differs between runs of the process.
+        Identifies this run of the process; differs from that of other runs.
     rng : Random
-        Source of election delays.
+        Source of randomness for election timeouts.
     now : Seconds
         Time of the start.
     """
@@ -93,44 +93,44 @@
         state.hard_state = saved.hard_state
         state.snapshot = saved.snapshot
         state.commit = state.log.start
-        # What it promised to a leader before the restart is not known.
+        # Promises to a leader are not saved, so a restart counts as hearing one.
         state.leader_heard_at = now
         state.delay_election(now)
         self.state = state
 
     @property
     def term(self) -> Term:
-        """Newest term."""
+        """Current term."""
         return self.state.term
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads its term, as far as it knows."""
+        """Whether this replica believes that it leads the current term."""
         return self.state.role is Role.LEADER
 
     @property
     def leader(self) -> InstanceId | None:
-        """Instance that leads, None when unknown."""
+        """Instance of the current leader, None when unknown."""
         return self.state.leader.instance if self.state.leader else None
 
     @property
     def commit(self) -> LogIndex:
-        """Last entry known to be committed."""
+        """Index of the last entry known to be committed."""
         return self.state.commit
 
     @property
     def membership(self) -> Membership:
-        """Newest membership."""
+        """Newest membership in the log, committed or not."""
         return self.state.membership
 
     def take_effects(self) -> Effects:
-        """Return what the calls since the last time ask for."""
+        """Return and clear the effects collected since the last call."""
         effects = self.state.effects
         self.state.effects = Effects()
         return effects
 
     def step(self, message: Message, now: Seconds) -> None:
-        """Take in a message of another replica."""
+        """Handle a message from another replica."""
         state = self.state
         match message.body:
             case JoinRequest() as body:
@@ -147,7 +147,7 @@
             self._dispatch(message, now)
 
     def tick(self, now: Seconds) -> None:
-        """Let time pass; to be called several times in a heartbeat."""
+        """Act on the passage of time; call several times per heartbeat interval."""
         state = self.state
         if should_request_join(state, now):
             request_join(state, now)
@@ -164,13 +164,14 @@
         Returns
         -------
         LogIndex
-            Index of the first; they are committed once they are handed out
-            at their indexes with the present term.
+            Index of the first command. The commands are committed once the
+            outputs contain entries with these indexes and the current term.
 
         Raises
         ------
         NotLeaderError
-            When the replica does not lead or hands over; nothing is appended.
+            When the replica does not lead or is transferring leadership;
+            nothing is appended.
         """
         self._check_leader()
         first = append_commands(self.state, commands)
@@ -178,22 +179,22 @@
         return first
 
     def change_members(self, change: MembershipChange, now: Seconds) -> None:
-        """Append a change of one member.
+        """Append a membership change of one member.
 
         Raises
         ------
         NotLeaderError
             When the replica does not lead, or another change is pending.
         ValueError
-            When the change does not fit the members.
+            When the change is not possible with the current members.
         """
         if not can_change_membership(self.state):
-            raise NotLeaderError("no change of members now", self.leader)
+            raise NotLeaderError("the replica cannot change members now", self.leader)
         append_membership(self.state, change)
         broadcast(self.state, now)
 
     def mark_synced(self, now: Seconds) -> None:
-        """Count the own log: all records taken so far are on disk."""
+        """Note that all records taken so far are on disk, and commit if possible."""
         leadership = self.state.leadership
         if leadership is None:
             return
@@ -201,12 +202,12 @@
         advance_commit(self.state, now)
 
     def send_heartbeats(self, now: Seconds) -> None:
-        """Send a heartbeat now, when it leads."""
+        """Send a heartbeat to each member at once if this replica leads."""
         if self.is_leader:
             broadcast(self.state, now)
 
     def transfer_leadership(self, now: Seconds) -> bool:
-        """Give the lease up and hand leadership over; False when it cannot."""
+        """Give up the lease and transfer leadership; False if no voter can take it."""
         if not self.is_leader:
             return False
         return transfer_leadership(self.state, now)
@@ -219,9 +220,9 @@
         index : LogIndex
             Last entry that the snapshot contains.
         data : bytes
-            The state machine's state.
+            State of the state machine after that entry.
         kept : int
-            Entries before it that stay in memory, for followers.
+            Number of earlier entries kept in memory for lagging followers.
         """
         log = self.state.log
         term = log.find_term(index)
@@ -231,12 +232,12 @@
         return snapshot
 
     def get_entries_after(self, index: LogIndex) -> tuple[Entry, ...]:
-        """Return the entries after an applied one."""
+        """Return the log entries after an applied index."""
         log = self.state.log
         return log.get_entries(LogIndex(index + 1), log.last_index)
 
     def holds_lease(self, now: Seconds) -> bool:
-        """Whether no other replica can lead at this time."""
+        """Whether this replica leads and no other replica can lead at this time."""
         state = self.state
         leadership = state.leadership
         if leadership is None or leadership.transfer_to is not None:
--- a/packages/core/src/bergamotwood_core/replicastate.py
+++ b/packages/core/src/bergamotwood_core/replicastate.py
@@ -1,4 +1,4 @@
-"""State of one replica, and what it asks its driver to do."""
+"""State of one replica, and the effects that it asks its driver to carry out."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -23,7 +23,7 @@
 
 
 class Role(StrEnum):
-    """Part that a replica plays in its term."""
+    """Role of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -32,36 +32,36 @@
 
 
 class ReplicaSettings(Struct, frozen=True):
-    """Settings of the pure replica.
+    """Settings of a replica.
 
     Parameters
     ----------
     instance : InstanceId
-        Where it runs.
+        Instance on which it runs.
     initial_voters : tuple of InstanceId
-        Instances of the group, in the same order on each.
+        Instances that form the group, in the same order on each of them.
     election_seconds : float
-        Least time without a leader before an election; the most is twice it.
+        Shortest election timeout; the longest is twice as long.
     heartbeat_seconds : float
         Time between heartbeats.
     lease_seconds : float
-        How long a confirmed round lets the leader act alone; less than
-        `election_seconds`.
+        Length of the leader's lease, from the time at which it sent the newest
+        heartbeat that a majority acknowledged; less than `election_seconds`.
     append_bytes : int
-        Most bytes of commands in one message.
+        Maximum bytes of commands in one message.
     append_entries_ahead : int
-        Most entries sent without an acknowledgement.
+        Maximum number of entries sent without an acknowledgement.
     snapshot_part_bytes : int
-        Bytes of a snapshot in one message.
+        Maximum bytes of a snapshot in one message.
     forms_group : bool
         Whether the initial voters may form a new group. False where the group
         exists already and an empty folder means that the disk was lost.
     open_membership : bool
-        Whether instances other than the initial voters may join, and take the
-        place of voters that stay silent.
+        Whether instances other than the initial voters may join, and replace
+        voters that stay silent.
     replacement_seconds : float
-        Silence after which a waiting learner takes a voter's place; longer
-        than a planned restart of a process needs (a few seconds).
+        Silence of a voter after which a learner replaces it; longer than a
+        planned restart of a process takes (a few seconds).
     """
 
     instance: InstanceId
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message and the instance that it goes to."""
+    """A message and its destination instance."""
 
     instance: InstanceId
     message: Message
@@ -87,21 +87,21 @@
 
 @dataclass
 class Effects:
-    """What the driver has to do, in this order.
+    """Actions that the driver carries out, in this order.
 
     Parameters
     ----------
     immediate : list of Outgoing
-        Messages that may be sent at once.
+        Messages to send without waiting for the records.
     records : list of Record or Snapshot
-        To be synced to disk, in order, before anything below.
+        Records to write and sync to disk, in order, before the rest is done.
     messages : list of Outgoing
-        Messages that rest on the records.
+        Messages to send once the records are on disk.
     outputs : list of Entry or Snapshot
         Committed entries to apply and snapshots to restore, in order.
     confirmed_at : Seconds
         Once the outputs are applied, everything that was committed at this
-        time of the driver's clock is applied.
+        time on the driver's clock is applied.
     """
 
     immediate: list[Outgoing] = field(default_factory=list)
@@ -113,7 +113,7 @@
 
 @dataclass
 class IncomingSnapshot:
-    """Parts received so far of a snapshot of this index, term and size."""
+    """Received parts of a snapshot; `key` holds its index, term and size."""
 
     key: tuple[LogIndex, Term, int]
     data: bytearray = field(default_factory=bytearray)
@@ -121,56 +121,56 @@
 
 @dataclass
 class ReplicaState:
-    """Everything that a replica knows.
+    """Complete state of a replica.
 
     Parameters
     ----------
     settings : ReplicaSettings
-        Its settings.
+        Settings of the replica.
     replica : ReplicaId
-        Its identity.
+        Identity of the replica.
     session : int
-        Distinguishes runs of its process.
+        Distinguishes the runs of its process.
     rng : Random
-        Source of election delays.
+        Source of randomness for election timeouts.
     log : EntryLog
-        Entries in memory.
+        Log entries held in memory.
     genesis : Genesis or None
-        Its group, None before it belongs to one.
+        Its group, None until it belongs to one.
     hard_state : HardState
-        Term and vote.
+        Current term, and the vote given in it.
     snapshot : Snapshot or None
         Newest snapshot.
     role : Role
-        Part it plays.
+        Role in the current term.
     leader : Member or None
-        Who leads its term, as far as known.
+        Leader of the current term, None when unknown.
     commit : LogIndex
-        Last entry known to be committed.
+        Index of the last entry known to be committed.
     leader_heard_at : Seconds
-        When it last heard the leader, or started.
+        When the leader was last heard, or the process started.
     election_at : Seconds
-        When it starts an election if it hears nothing.
+        When it starts an election unless it hears a leader before.
     join_retry_at : Seconds
-        When it asks next to join.
+        When it sends the next join requests.
     votes : set of ReplicaId
-        Granted to it in this (pre-)election.
+        Voters that granted their vote in this pre-vote or election.
     leadership : Leadership or None
-        While it leads.
+        State of the leader, None while it does not lead.
     confirmed_at : Seconds
         As in `Effects`.
     incoming : IncomingSnapshot or None
-        While it receives one.
+        Snapshot that is being received, if any.
     known_identities : dict
-        Identity last heard from each instance, before it is a member.
+        Identity last heard from each instance; used while it asks to join.
     known_leader : tuple of (ReplicaId, Term)
-        The leader that welcomed it last.
+        Leader and term that last answered a join request.
     waiting_identities : dict
         Identities of instances that wait for the group to be formed.
     known_instances : set of InstanceId
-        Instances of members, as other replicas named them.
+        Instances of members, as reported by other replicas.
     effects : Effects
-        Collected since the driver last took them.
+        Effects collected since the driver last took them.
     """
 
     settings: ReplicaSettings
@@ -199,37 +199,37 @@
 
     @property
     def term(self) -> Term:
-        """Newest term."""
+        """Current term."""
         return self.hard_state.term
 
     @property
     def membership(self) -> Membership:
-        """Newest membership."""
+        """Newest membership in the log, committed or not."""
         return self.log.membership
 
     @property
     def is_voter(self) -> bool:
-        """Whether it counts for majorities."""
+        """Whether it votes and counts toward majorities."""
         return self.membership.is_voter(self.replica)
 
     def get_time(self, now: Seconds) -> FollowerTime:
-        """Return the time on its own clock, for a leader to echo."""
+        """Return a reading of its own clock, for the leader to echo."""
         return FollowerTime(self.session, now)
 
     def build_message(self, target: ReplicaId, body: Body) -> Message:
-        """Return a message from this replica."""
+        """Build a message from this replica."""
         genesis = self.genesis.id if self.genesis else ""
         return Message(
             self.settings.instance, self.replica, target, genesis, self.term, body
         )
 
     def send(self, instance: InstanceId, target: ReplicaId, body: Body) -> None:
-        """Send once the records are on disk."""
+        """Queue a message to be sent once the records are on disk."""
         message = self.build_message(target, body)
         self.effects.messages.append(Outgoing(instance, message))
 
     def send_immediately(self, member: Member, body: Body) -> None:
-        """Send without waiting for the disk, if the term is there already."""
+        """Queue a message to be sent at once, unless the term is still to be saved."""
         if any(isinstance(record, HardState) for record in self.effects.records):
             self.send(member.instance, member.replica, body)
             return
@@ -237,33 +237,37 @@
         self.effects.immediate.append(Outgoing(member.instance, message))
 
     def save_hard_state(self, hard_state: HardState) -> None:
-        """Set term and vote, on disk too."""
+        """Set the term and vote, and queue them to be saved."""
         self.hard_state = hard_state
         self.effects.records.append(hard_state)
 
     def join_group(self, genesis: Genesis) -> None:
-        """Join a group for good."""
+        """Join a group permanently."""
         self.genesis = genesis
         self.log = EntryLog(LogIndex(0), Term(0), genesis.membership)
         self.effects.records.append(JoinedGroup(genesis))
 
     def append_entries(self, entries: tuple[Entry, ...]) -> None:
-        """Add entries to the log, on disk too."""
+        """Append entries to the log, and queue them to be saved."""
         for entry in entries:
             self.log.append(entry)
         self.effects.records.append(Entries(entries))
 
     def delay_election(self, now: Seconds) -> None:
-        """Set the time of the next election anew."""
+        """Restart the randomized election timeout."""
         timeout = self.settings.election_seconds
         self.election_at = Seconds(now + timeout * (1.0 + self.rng.random()))
 
     def has_recent_leader(self, now: Seconds) -> bool:
-        """Whether it has promised a leader not to take part in an election."""
+        """Whether it heard a leader within the shortest election timeout.
+
+        While it does, it refuses elections that the leader did not start; the
+        leader's lease relies on this.
+        """
         return now < self.leader_heard_at + self.settings.election_seconds
 
     def become_follower(self, term: Term, now: Seconds) -> None:
-        """Follow in a term, with no leader known yet."""
+        """Become a follower in a term, with no known leader."""
         if term > self.term:
             self.save_hard_state(HardState(term))
         self.role = Role.FOLLOWER
@@ -273,7 +277,7 @@
         self.delay_election(now)
 
     def commit_to(self, index: LogIndex) -> None:
-        """Hand out the entries up to an index as committed."""
+        """Add the entries up to an index to the outputs as committed."""
         if index <= self.commit:
             return
         first = LogIndex(self.commit + 1)
@@ -281,6 +285,6 @@
         self.commit = index
 
     def confirm(self, at: Seconds) -> None:
-        """Note that all that was committed at a time is known here."""
+        """Note that everything committed at a time is known to this replica."""
         self.confirmed_at = max(self.confirmed_at, at)
         self.effects.confirmed_at = self.confirmed_at
--- a/packages/core/src/bergamotwood_core/replication.py
+++ b/packages/core/src/bergamotwood_core/replication.py
@@ -1,4 +1,4 @@
-"""The leader's part: sending entries, counting acknowledgements, committing."""
+"""Replication by the leader: sends entries, counts acknowledgements, commits."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import LogIndex, ReplicaId
@@ -22,7 +22,7 @@
 
 
 def become_leader(state: ReplicaState, now: Seconds) -> None:
-    """Lead the term, beginning with an entry of its own."""
+    """Become leader of the term and append a no-op entry."""
     state.role = Role.LEADER
     state.leader = state.membership.find(state.replica)
     first = LogIndex(state.log.last_index + 1)
@@ -43,7 +43,7 @@
 
 
 def append_membership(state: ReplicaState, change: MembershipChange) -> None:
-    """Append a change of one member; it counts from now on."""
+    """Append a change of one member; it takes effect when appended."""
     members = change_members(state.membership, change)
     index = LogIndex(state.log.last_index + 1)
     entry = Entry(index, state.term, EntryKind.MEMBERSHIP, membership=members)
@@ -60,13 +60,16 @@
 
 
 def has_committed_in_term(state: ReplicaState) -> bool:
-    """Whether the leader knows all that was committed before its term."""
+    """Whether an entry of the leader's own term is committed.
+
+    From then on it knows everything that was committed in earlier terms.
+    """
     leadership = state.leadership
     return leadership is not None and state.commit >= leadership.first_index
 
 
 def broadcast(state: ReplicaState, now: Seconds) -> None:
-    """Send each other member what it lacks, or a heartbeat."""
+    """Send each other member the entries that it lacks, or a heartbeat."""
     leadership = state.leadership
     leadership.next_heartbeat = Seconds(now + state.settings.heartbeat_seconds)
     _update_progress_members(state)
@@ -95,7 +98,7 @@
 def handle_append_reply(
     state: ReplicaState, message: Message, body: AppendReply, now: Seconds
 ) -> None:
-    """Take in an answer to `Append`."""
+    """Handle an answer to `AppendRequest`."""
     progress = _find_progress(state, message.sender)
     if progress is None:
         return
@@ -114,7 +117,7 @@
 def handle_snapshot_reply(
     state: ReplicaState, message: Message, body: SnapshotReply, now: Seconds
 ) -> None:
-    """Send the next part of a snapshot."""
+    """Handle an answer to `SnapshotPart`, and send the next part."""
     progress = _find_progress(state, message.sender)
     if progress is None:
         return
@@ -131,10 +134,11 @@
 
 
 def advance_commit(state: ReplicaState, now: Seconds) -> None:
-    """Commit what a majority has, and note the confirmed round."""
+    """Commit what a majority has on disk, and update the confirmed time."""
     leadership = state.leadership
     index = _find_majority_match(state)
-    # Entries of earlier terms are committed only by one of this term.
+    # An entry of an earlier term may be overwritten although a majority has it;
+    # it is committed only together with an entry of the current term.
     if index > state.commit and state.log.find_term(index) == state.term:
         state.commit_to(index)
         if not state.membership.find(state.replica):
@@ -145,7 +149,7 @@
 
 
 def find_quorum_contact(state: ReplicaState, now: Seconds) -> Seconds:
-    """Return when the newest round was sent that a majority acknowledged."""
+    """Return when the newest messages were sent that a majority acknowledged."""
     progress = state.leadership.progress
     times = []
     for voter in state.membership.voters:
@@ -157,12 +161,12 @@
 
 
 def transfer_leadership(state: ReplicaState, now: Seconds) -> bool:
-    """Begin to hand over to the voter that has most of the log.
+    """Start a leadership transfer to the most up-to-date voter.
 
     Returns
     -------
     bool
-        Whether there is such a voter.
+        Whether any voter answered within the last election timeout.
     """
     leadership = state.leadership
     timeout = state.settings.election_seconds
@@ -180,7 +184,7 @@
 
 
 def complete_transfer(state: ReplicaState, now: Seconds) -> None:
-    """Let the chosen voter stand for election once it has the whole log."""
+    """Tell the chosen voter to start an election once it has the whole log."""
     leadership = state.leadership
     target = leadership.transfer_to
     progress = leadership.progress.get(target)
--- a/packages/core/src/bergamotwood_core/states.py
+++ b/packages/core/src/bergamotwood_core/states.py
@@ -1,4 +1,4 @@
-"""States that entities move through."""
+"""States and outcomes of entities and requests."""
 
 from enum import IntEnum, StrEnum
 
@@ -11,28 +11,28 @@
 
 
 class EndpointState(StrEnum):
-    """What an endpoint says of itself."""
+    """State that an endpoint announces."""
 
     SERVING = "serving"
     LEAVING = "leaving"
 
 
 class EndpointKind(StrEnum):
-    """What an endpoint runs."""
+    """Kind of work that an endpoint runs."""
 
     MODEL = "model"
     SERVICE = "service"
 
 
 class EntryState(StrEnum):
-    """Whether callers should be sent to an entry."""
+    """Whether callers should be directed to an entry."""
 
     SERVING = "serving"
     DRAINING = "draining"
 
 
 class RolloutState(StrEnum):
-    """Progress of a roll-out."""
+    """State of a roll-out."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -41,7 +41,7 @@
 
 
 class TicketOutcome(StrEnum):
-    """What became of a ticket."""
+    """Result of applying a ticket."""
 
     ACCEPTED = "accepted"
     REPEATED = "repeated"
@@ -51,7 +51,7 @@
 
 
 class BillOutcome(StrEnum):
-    """What became of a bill, or of the end of a claim."""
+    """Result of recording a bill or finishing a claim."""
 
     RECORDED = "recorded"
     DUPLICATE = "duplicate"
@@ -62,7 +62,7 @@
 
 
 class ClaimState(StrEnum):
-    """State of a non-idempotent request in the ledger."""
+    """State of an idempotency key in the ledger."""
 
     HELD = "held"
     DONE = "done"
@@ -70,7 +70,7 @@
 
 
 class Run(StrEnum):
-    """What an error says about the request having run."""
+    """Whether a request that failed was executed."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
--- a/packages/core/src/bergamotwood_core/tables.py
+++ b/packages/core/src/bergamotwood_core/tables.py
@@ -1,4 +1,4 @@
-"""Tables of entities, over which the systems run."""
+"""Tables of the entities that a daemon works with."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -43,23 +43,23 @@
     Parameters
     ----------
     announcement : Announcement
-        Its newest word.
+        Its newest announcement.
     heard_at : Seconds
-        When that word reached this daemon.
+        When that announcement reached this daemon.
     outstanding : int
-        Requests that this daemon runs there now.
+        Requests that this daemon is running there.
     outstanding_at_report : int
-        What `outstanding` was when the announcement came.
+        Value of `outstanding` when the announcement arrived.
     first_token_seconds : float
-        Moving average of time to the first token.
+        Moving average of the time to first token.
     failures : int
-        Failures in a row.
+        Number of consecutive failures.
     ejected_until : Seconds
-        Gets no new work before, because of failures.
+        Receives no new work until then, because of failures.
     awaiting_first_token : int
-        Attempts of this daemon that have no first token yet.
+        Attempts of this daemon that have received no first token yet.
     awaiting_since : Seconds
-        Since when it has sent no first token, while some attempt waited.
+        Since when it has sent no first token although an attempt awaits one.
     """
 
     announcement: Announcement
@@ -74,12 +74,12 @@
 
     @property
     def id(self) -> EndpointId:
-        """The endpoint's id."""
+        """Id of the endpoint."""
         return self.announcement.id
 
     @property
     def serving(self) -> bool:
-        """Whether it says that it takes new work."""
+        """Whether it announces that it accepts new work."""
         return self.announcement.state is EndpointState.SERVING
 
 
@@ -98,15 +98,15 @@
     Parameters
     ----------
     ticket : TicketNumber
-        Ticket that set the roll-out last.
+        Ticket that last set the roll-out.
     stage : int
         Index into the roll-out's stages.
     state : RolloutState
-        Where it stands.
+        Current state.
     exposed : int
-        Requests that ran on the candidate, over all entries.
+        Requests that ran on the candidate, summed over all entries.
     reason : str
-        Why it stopped, for a person.
+        Readable reason for which it stopped.
     """
 
     ticket: TicketNumber
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class Suspect:
-    """A request fingerprint that ran on endpoints when they crashed."""
+    """A request fingerprint that was running on endpoints when they crashed."""
 
     crashes: int = 0
     last_endpoint: EndpointId = EndpointId("")
@@ -126,7 +126,7 @@
 
 @dataclass
 class ConfigurationTables:
-    """Entities that tickets change; equal on every daemon at one log index."""
+    """Replicated configuration; identical on every daemon at one log index."""
 
     index: LogIndex = LogIndex(0)
     ticket: TicketNumber = TicketNumber(0)
@@ -142,16 +142,16 @@
 
 @dataclass(slots=True)
 class Departure:
-    """Last word of an endpoint or entry that is no longer in its table.
+    """Last announcement or report of an endpoint or entry that was removed.
 
     Parameters
     ----------
     incarnation, sequence : int
-        Order of that word; an older one is late and ignored.
+        Order of that message; an older one arrives late and is ignored.
     leaving : bool
-        Whether it said that it leaves, which is final for the incarnation.
+        Whether it announced that it leaves, which is final for the incarnation.
     at : Seconds
-        When it was taken out of the table.
+        When it was removed from the table.
     """
 
     incarnation: Incarnation
@@ -161,16 +161,16 @@
 
 
 class PoolKey(NamedTuple):
-    """Which endpoints a pool holds.
+    """Selection of the endpoints in a pool.
 
     Parameters
     ----------
     name : str
-        Version or service that they run.
+        Model version or service that they run.
     data_centres : tuple of DataCentre
-        Where they are.
+        Data centres of the selection.
     elsewhere : bool
-        Whether they are in any data centre but these.
+        Whether they are in any data centre other than these.
     """
 
     name: str
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Endpoints of one pool, with a hash of each id."""
+    """Endpoints of one pool, with the hash of each id."""
 
     endpoints: tuple[EndpointId, ...]
     hashes: NDArray[uint64]
@@ -188,21 +188,21 @@
 
 @dataclass
 class DirectoryTables:
-    """Soft state: who is there now.
+    """Soft state: the endpoints and entries that are present.
 
     Parameters
     ----------
     endpoints, entries : dict
         Rows by id.
     membership_version : int
-        Raised whenever an endpoint comes, goes, moves or changes its versions;
-        the pools are made anew then.
+        Increased whenever an endpoint joins, leaves, moves or changes its
+        versions; the pools are then rebuilt.
     pools : dict
-        Pools made since, by key.
+        Pools built since then, by key.
     pools_version, pools_size : int
-        Membership and number of endpoints that the pools were made from.
+        Membership version and number of endpoints that the pools are based on.
     departed_endpoints, departed_entries : dict
-        Last words of those that are no longer there.
+        Last messages of endpoints and entries that were removed.
     """
 
     endpoints: dict[EndpointId, Endpoint] = field(default_factory=dict)
@@ -217,7 +217,7 @@
 
 @dataclass(slots=True)
 class InFlight:
-    """A caller's request that this entry is serving."""
+    """A caller's request that this entry is processing."""
 
     id: RequestId
     workspace: WorkspaceId
@@ -227,7 +227,7 @@
 
 @dataclass
 class Tables:
-    """Everything a daemon's decisions read."""
+    """All tables on which a daemon's decisions are based."""
 
     configuration: ConfigurationTables = field(default_factory=ConfigurationTables)
     directory: DirectoryTables = field(default_factory=DirectoryTables)
--- a/packages/core/src/bergamotwood_core/ticket.py
+++ b/packages/core/src/bergamotwood_core/ticket.py
@@ -1,4 +1,4 @@
-"""Tickets: reading, checking, digest and difference."""
+"""Reading, checking, digesting and comparing of tickets."""
 
 import json
 from collections.abc import Iterator
@@ -24,7 +24,7 @@
 from bergamotwood_core.states import RolloutState, VersionState
 from bergamotwood_core.tables import ConfigurationTables
 
-# Bytes of a ticket's text.
+# Maximum bytes of a ticket's text.
 MAX_TICKET_BYTES = 1_048_576
 KINDS = ("workspaces", "models", "cascades", "services", "rollouts")
 
@@ -40,12 +40,12 @@
     Returns
     -------
     Ticket
-        The ticket, valid in itself.
+        The ticket; its references are not checked yet.
 
     Raises
     ------
     TicketError
-        With every fault and its place.
+        With each fault and its place.
     """
     try:
         content = load_document(text, MAX_TICKET_BYTES)
@@ -61,7 +61,7 @@
 
 
 def encode_ticket(ticket: Ticket) -> bytes:
-    """Write a ticket in its one canonical form, JSON without defaults.
+    """Encode a ticket in its canonical form, JSON without defaults.
 
     Fields that have their default are left out, so that a field added by a
     later release changes neither the form nor the digest of older tickets.
@@ -86,15 +86,14 @@
 
 
 def diff_ticket(tables: ConfigurationTables, ticket: Ticket) -> tuple[Change, ...]:
-    """List what a ticket would change, its effects on roll-outs included."""
+    """List what a ticket would change, including its effects on roll-outs."""
     return diff_tables(tables, merge_ticket(tables, ticket))
 
 
 def check_ticket(tables: ConfigurationTables, ticket: Ticket) -> tuple[str, ...]:
     """Check a ticket against the configuration that it would change.
 
-    Faults that the configuration had before the ticket are not counted
-    against it.
+    Faults that the configuration already has are not reported.
 
     Parameters
     ----------
@@ -106,7 +105,7 @@
     Returns
     -------
     tuple of str
-        Every fault with its place; empty if the ticket may be applied.
+        Faults with their places; empty if the ticket may be applied.
     """
     faults = [*_find_internal_faults(ticket), *_find_removal_faults(tables, ticket)]
     faults.extend(_find_rollout_faults(tables, ticket))
@@ -129,7 +128,7 @@
 def _may_break_workspaces(
     before: ConfigurationTables, after: ConfigurationTables, ticket: Ticket
 ) -> bool:
-    """Tell whether workspaces that a ticket does not name may get faults."""
+    """Tell whether a ticket may cause faults in workspaces that it does not name."""
     if ticket.cascades or ticket.remove.cascades or ticket.remove.services:
         return True
     return any(
@@ -156,7 +155,7 @@
     for rollout in ticket.rollouts:
         if rollout.state is RolloutState.COMPLETED:
             yield (
-                f"rollout {rollout.name}: completed cannot be asked for; "
+                f"rollout {rollout.name}: state completed cannot be requested; "
                 "set the model's current version"
             )
 
--- a/tests/core/ledgercluster.py
+++ b/tests/core/ledgercluster.py
@@ -1,4 +1,4 @@
-"""A log group that runs the ledger, with callers that resend and give up."""
+"""Simulation of a log group that runs the ledger for competing callers."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 @dataclass
 class Caller:
-    """One attempt of an entry to run the request of a key."""
+    """One attempt of an entry to run the request with a key."""
 
     key: str
     token: str
@@ -38,7 +38,7 @@
 
 
 class LedgerCluster(Cluster):
-    """Callers claim keys, dispatch when they hold one, bill or give up."""
+    """Log group on which callers claim keys, then dispatch and bill, or release."""
 
     append_bytes = 600
     part_bytes = 2000
@@ -84,7 +84,10 @@
             del self.waiting[at]
 
     def check_bills(self):
-        """Every request that was billed, was dispatched, and has one bill."""
+        """Check that each billed key was dispatched and has one bill.
+
+        Returns the largest number of billed keys on a replica.
+        """
         most = 0
         for machine in self.machines.values():
             billed = Counter(bill.key for bill in machine.list_bills(None, 10_000))
--- a/tests/core/logcheck.py
+++ b/tests/core/logcheck.py
@@ -1,4 +1,4 @@
-"""The long form of the step check: many seeds, three and five replicas."""
+"""Long random fault check of the replicated log, with many seeds."""
 
 import click
 from core.ledgercluster import LedgerCluster
@@ -11,7 +11,7 @@
 @click.option("--seeds", default=300, help="Number of seeds.")
 @click.option("--steps", default=5000, help="Steps with faults for each seed.")
 def check(first, seeds, steps):
-    """Drive the replicated log through random faults; fail on a broken promise."""
+    """Run the replicated log under random faults; fail on a violated invariant."""
     committed = elections = lost_disks = 0
     for seed in range(first, first + seeds):
         cluster = Cluster(seed, size=5 if seed % 3 == 0 else 3)
@@ -23,12 +23,12 @@
         lost_disks += cluster.counts["loses"]
     click.echo(
         f"{seeds} seeds of {steps} steps: {committed} entries committed, "
-        f"{elections} elections, {lost_disks} disks lost, no promise broken"
+        f"{elections} elections, {lost_disks} disks lost, no invariant violated"
     )
 
 
 def drive(cluster, steps, seconds, name):
-    """Run a cluster through faults, heal it, and ask for progress."""
+    """Run a cluster under faults, end them, and require progress."""
     try:
         cluster.run(steps)
         reached = len(cluster.committed)
@@ -40,7 +40,7 @@
 
 
 def check_ledger(seed, steps):
-    """Run the ledger over the same faults."""
+    """Run the ledger under the same faults."""
     cluster = LedgerCluster(seed, size=5 if seed % 3 == 0 else 3)
     drive(cluster, steps, 15.0, f"ledger, seed {seed}")
     try:
@@ -50,7 +50,7 @@
 
 
 def check_open_group(seed, steps):
-    """Run a group that replicas join and leave by themselves."""
+    """Run a group with open membership, which replicas join and leave."""
     lost_at_once = 1 + seed % 2
     cluster = OpenCluster(
         seed,
--- a/tests/core/logcluster.py
+++ b/tests/core/logcluster.py
@@ -1,4 +1,4 @@
-"""Replicas of one log group, driven step by step through every kind of fault."""
+"""Simulation of one log group that injects faults and checks its invariants."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -26,12 +26,12 @@
 
 
 class InvariantError(AssertionError):
-    """A promise of the log is broken."""
+    """An invariant of the replicated log is violated."""
 
 
 @dataclass
 class Disk:
-    """What is synced."""
+    """State that is synced to disk."""
 
     replica: ReplicaId
     genesis: object = None
@@ -69,7 +69,7 @@
 
 @dataclass
 class Node:
-    """One instance: a disk, and a replica while the process runs."""
+    """One instance: its disk, and a replica while its process runs."""
 
     instance: InstanceId
     disk: Disk
@@ -85,7 +85,12 @@
 
 
 class Cluster:
-    """A group of instances with a faulty network, faulty disks and clocks."""
+    """A group of instances with faulty networks, disks and processes.
+
+    Each instance has a clock of its own. A step delivers messages and lets one
+    node act, or injects a fault. The invariants are checked after each sync.
+    All random choices follow from the seed.
+    """
 
     append_bytes = 60
     part_bytes = 40
@@ -187,7 +192,7 @@
         self.submit(node, f"c{self.proposed}".encode())
 
     def submit(self, node, command):
-        """Append a command, if the node leads; return its index and term."""
+        """Propose a command; return its index and term, or None if not the leader."""
         try:
             index = node.replica.propose([command], self.clock(node))
         except NotLeaderError:
@@ -210,18 +215,20 @@
             if entry.kind is EntryKind.COMMAND
         ]
         if node.applied != wanted:
-            raise InvariantError(f"snapshot {snapshot.index} is not what was committed")
+            raise InvariantError(
+                f"snapshot {snapshot.index} differs from the committed entries"
+            )
 
     def reset(self, node):
         node.applied = []
 
     def carry_out(self, node):
-        """Take the effects: early messages go, the rest waits for the disk."""
+        """Take the effects, send the immediate messages and leave the rest unsynced."""
         node.unsynced = node.replica.take_effects()
         self._send(node, node.unsynced.immediate)
 
     def sync(self, node):
-        """Finish what waits for the disk."""
+        """Sync the records, then carry out the rest of the effects."""
         for _ in range(2):
             effects = node.unsynced
             node.disk.save(effects.records)
@@ -236,7 +243,7 @@
         self.check(node)
 
     def run_action(self, node, action):
-        """Do one thing on a node and carry it out whole."""
+        """Run an action on a node and carry out all of its effects."""
         action(node)
         self.carry_out(node)
         self.sync(node)
@@ -245,7 +252,7 @@
         node.replica.tick(self.clock(node))
 
     def elect(self, node, names):
-        """Let one node win an election among some, and say no more."""
+        """Let one node win an election among the named ones, then drop all messages."""
         while not node.replica.is_leader:
             self.now += 5.0
             node.replica.state.election_at = NEVER
@@ -254,7 +261,7 @@
         self.network.clear()
 
     def exchange(self, names, done=lambda: False):
-        """Deliver messages among some nodes in order; the others get none."""
+        """Deliver messages among the named nodes in order, and drop all others."""
         while self.network and not done():
             source, target, body = self.network.pop(0)
             if source in names and target in names:
@@ -269,19 +276,19 @@
         self.run_action(node, lambda n: n.replica.send_heartbeats(self.clock(n)))
 
     def configure_all(self):
-        """Name all instances in the settings, and start them anew."""
+        """Make all instances initial voters in the settings, and restart them."""
         self.configured = self.names
         self.restart_all()
 
     def restart_all(self):
-        """Start every process anew, with nothing in the network."""
+        """Restart every process, with no messages in the network."""
         for node in self.nodes.values():
             self.crash(node)
             self.start(node)
         self.network.clear()
 
     def heal_and_run(self, seconds):
-        """Heal everything, and run without faults."""
+        """End all faults, and run without new ones."""
         self.faults = False
         self.blocked.clear()
         for node in self.nodes.values():
@@ -319,7 +326,8 @@
                     continue
                 if other.replica.term > holder.replica.term:
                     raise InvariantError(
-                        f"{holder.instance} orders in term {holder.replica.term}"
+                        f"{holder.instance} holds the lease in term"
+                        f" {holder.replica.term}"
                         f" while {other.instance} leads term {other.replica.term}"
                     )
 
@@ -345,11 +353,11 @@
         due = bisect_left(self.committed_at, confirmed - 1e-9)
         if node.applied_index < due:
             raise InvariantError(
-                f"{node.instance} applied {node.applied_index} but says that it is "
-                f"as new as {confirmed:.3f}, when {due} was committed"
+                f"{node.instance} applied {node.applied_index} but claims to be as "
+                f"new as {confirmed:.3f}, when {due} was committed"
             )
 
-    # -- parts ---------------------------------------------------------------
+    # -- internals -----------------------------------------------------------
 
     def _make_node(self, name):
         offset = self.rng.random() * 1000.0
@@ -409,7 +417,7 @@
             self.lose_disk(node)
 
     def _may_lose_disk(self, node):
-        """Whether a majority of the newest members keep their disks."""
+        """Whether a majority of the newest voters would still have their disks."""
         if not self.committed:
             return False
         newest = max(
--- a/tests/core/opencluster.py
+++ b/tests/core/opencluster.py
@@ -1,10 +1,10 @@
-"""A group with open membership: replicas join, and take the place of lost ones."""
+"""Simulation of a group with open membership, in which replicas are replaced."""
 
 from core.logcluster import Cluster
 from msgspec.structs import replace
 
 INITIAL = 3
-# As the gateway sets them.
+# The values that the gateway sets.
 ELECTION_SECONDS = 0.6
 LEASE_SECONDS = 0.45
 
@@ -12,22 +12,22 @@
 class OpenCluster(Cluster):
     """Three initial voters, and spare instances that ask to join.
 
-    No more instances at a time are gone or have an empty disk than the
-    deployment promises: one of three, or two of five.
+    No more instances at a time are stopped for good or have an empty disk than
+    the deployment tolerates: one of three, or two of five.
 
     Parameters
     ----------
     seed : int
-        Seed of everything random.
+        Seed of all random choices.
     spares : int
-        Instances beside the initial voters.
+        Number of instances besides the initial voters.
     lost_at_once : int
-        Instances that may be without their disk at the same time.
+        Number of instances that may have lost their disks at the same time.
     power_loss_share : float
-        Part of the faults that stop all processes at once.
+        Share of the faults that stop all processes at once.
     """
 
-    # A replica that joins must be able to catch up with a log that goes on.
+    # Large enough that a joining replica catches up while the log grows.
     part_bytes = 100_000
     snapshot_entries = 100
     kept_entries = 50
@@ -53,7 +53,7 @@
             super().start(node)
 
     def _may_lose_disk(self, node):
-        """Whether so few others are without a vote that one more may be."""
+        """Whether one more instance may lose its disk within `lost_at_once`."""
         if not self.committed:
             return False
         running = [other for other in self.nodes.values() if other.replica is not None]
@@ -76,25 +76,25 @@
             super()._make_fault()
 
     def lose_power(self):
-        """Stop every process at once, with all that is not synced."""
+        """Stop every process at once; what is not synced is lost."""
         for node in self.nodes.values():
             if node.replica is not None:
                 self.crash(node)
 
     def remove(self, node):
-        """Take an instance away for good."""
+        """Stop an instance permanently."""
         self.removed.add(node.instance)
         self.crash(node)
         self.note(f"{node.instance} is-removed")
 
     def find_membership(self):
-        """Return the newest membership, once there is a leader."""
+        """Run until there is a leader, and return its membership."""
         limit = self.now + 10.0
         while self.find_leader() is None and self.now < limit:
             self.step()
         return self.find_leader().replica.membership
 
     def list_voters(self):
-        """Return the instances that vote, as the leader knows them."""
+        """Return the instances that vote according to the leader."""
         members = self.find_membership().members
         return {member.instance for member in members if member.voting}
--- a/tests/core/test_bootstrap.py
+++ b/tests/core/test_bootstrap.py
@@ -6,7 +6,7 @@
 from bergamotwood_core.replication import has_committed_in_term
 
 STEPS = 3000
-# Part of the faults that stop all processes at once.
+# Share of the faults that stop all processes at once.
 POWER_LOSS_SHARE = 0.05
 
 
@@ -93,7 +93,7 @@
 
 
 class EarlyAcknowledgingCluster(OpenCluster):
-    """Sends acknowledgements before the disk has what they acknowledge."""
+    """Sends acknowledgements before the acknowledged records are synced."""
 
     def carry_out(self, node):
         super().carry_out(node)
--- a/tests/core/test_replica.py
+++ b/tests/core/test_replica.py
@@ -64,7 +64,7 @@
     monkeypatch.setattr(
         replica.Replica, "holds_lease", lambda self, now: self.is_leader
     )
-    with pytest.raises(InvariantError, match="orders in term"):
+    with pytest.raises(InvariantError, match="holds the lease in term"):
         run_seeds((11, 16, 24))
 
 
@@ -75,7 +75,7 @@
         progress.follower_time = body.follower_time
 
     monkeypatch.setattr(replication, "_record_reply", record_reply)
-    with pytest.raises(InvariantError, match="says that it is as new as"):
+    with pytest.raises(InvariantError, match="claims to be as new as"):
         run_seeds((16, 53))
 
 
@@ -85,12 +85,15 @@
             state.confirm(Seconds(state.leader_heard_at - body.age))
 
     monkeypatch.setattr(follower, "_update_confirmed_at", update_confirmed_at)
-    with pytest.raises(InvariantError, match="says that it is as new as"):
+    with pytest.raises(InvariantError, match="claims to be as new as"):
         run_seeds((0, 1, 2))
 
 
 def overwrite_an_entry_of_an_old_term():
-    """Replicate an entry of an old term to a majority, then elect its rival."""
+    """Replicate an entry of an old term to a majority, then elect a leader without it.
+
+    The new leader overwrites the entry, which is safe only if it was not committed.
+    """
     cluster = Cluster(seed=1, size=5, faults=False)
     cluster.heal_and_run(10.0)
     cluster.restart_all()
