--- a/packages/core/src/bergamotwood_core/bootstrap.py
+++ b/packages/core/src/bergamotwood_core/bootstrap.py
@@ -90,8 +90,10 @@
     instances = tuple(member.instance for member in state.membership.members)
     reply = JoinReply(state.genesis, is_leader, instances)
     state.send(message.instance, message.sender, reply)
-    current = body.receiver == state.replica and body.receiver_term == state.term
-    if is_leader and current and _may_join(state, message.instance):
+    names_this_leader = (
+        body.receiver == state.replica and body.receiver_term == state.term
+    )
+    if is_leader and names_this_leader and _may_join(state, message.instance):
         state.leadership.join_requests[message.instance] = message.sender
 
 
@@ -130,8 +132,8 @@
 def _record_waiting_identity(
     state: ReplicaState, message: Message, body: JoinRequest, now: Seconds
 ) -> None:
-    agreed = body.voters == state.settings.initial_voters
-    if body.in_group or not agreed or body.receiver != state.replica:
+    has_same_voters = body.voters == state.settings.initial_voters
+    if body.in_group or not has_same_voters or body.receiver != state.replica:
         return
     state.waiting_identities[message.instance] = message.sender
     _form_group(state, now)
@@ -215,15 +217,15 @@
 def _choose_repair(state: ReplicaState, now: Seconds) -> AddLearner | Remove | None:
     requests = state.leadership.join_requests
     for instance, replica in list(requests.items()):
-        occupant = state.membership.find_instance(instance)
-        if occupant is None:
+        member = state.membership.find_instance(instance)
+        if member is None:
             if len(state.membership.members) < MAX_OPEN_MEMBERS:
                 return AddLearner(instance, replica)
             return _find_silent_learner(state, now)
-        if occupant.replica == replica:
+        if member.replica == replica:
             del requests[instance]
-        elif occupant.replica != state.replica and _is_lost(state, occupant, now):
-            return Remove(occupant.replica)
+        elif member.replica != state.replica and _is_lost(state, member, now):
+            return Remove(member.replica)
     return None
 
 
@@ -250,5 +252,5 @@
 def _measure_silence(state: ReplicaState, member: Member, now: Seconds) -> float:
     leadership = state.leadership
     progress = leadership.progress.get(member.replica)
-    heard = progress.acked_at if progress else leadership.elected_at
-    return now - max(heard, leadership.elected_at)
+    last_heard_at = progress.acked_at if progress else leadership.elected_at
+    return now - max(last_heard_at, leadership.elected_at)
--- a/packages/core/src/bergamotwood_core/logentries.py
+++ b/packages/core/src/bergamotwood_core/logentries.py
@@ -149,8 +149,8 @@
 
     def find_membership(self, index: LogIndex) -> Membership:
         """Return the membership that applies at an index."""
-        held = [members for at, members in self._memberships if at <= index]
-        return held[-1]
+        memberships = [members for at, members in self._memberships if at <= index]
+        return memberships[-1]
 
     def find_term(self, index: LogIndex) -> Term | None:
         """Return the term of the entry at an index, None when not held."""
@@ -164,8 +164,8 @@
         self, first: LogIndex, last: LogIndex, limit_bytes: int | None = None
     ) -> tuple[Entry, ...]:
         """Return the entries of an index range, up to a size but at least one."""
-        low = first - self.start - 1
-        found = self._entries[low : last - self.start]
+        start = first - self.start - 1
+        found = self._entries[start : last - self.start]
         if limit_bytes is None:
             return tuple(found)
         size = 0
--- a/packages/core/src/bergamotwood_core/replica.py
+++ b/packages/core/src/bergamotwood_core/replica.py
@@ -152,7 +152,7 @@
         if should_request_join(state, now):
             request_join(state, now)
         if state.role is Role.LEADER:
-            self._lead(now)
+            self._tick_leader(now)
             return
         is_only_voter = state.membership.voters == (state.replica,)
         if state.is_voter and (is_only_voter or now >= state.election_at):
@@ -293,15 +293,15 @@
             case StartElection() if state.is_voter:
                 start_election(state, now, transfer=True)
 
-    def _lead(self, now: Seconds) -> None:
+    def _tick_leader(self, now: Seconds) -> None:
         state = self.state
         leadership = state.leadership
         confirmed = max(find_quorum_contact(state, now), leadership.elected_at)
-        lost = now > confirmed + state.settings.election_seconds
+        lost_quorum = now > confirmed + state.settings.election_seconds
         transfer_timed_out = (
             leadership.transfer_to is not None and now > leadership.transfer_until
         )
-        if lost or transfer_timed_out:
+        if lost_quorum or transfer_timed_out:
             state.become_follower(state.term, now)
             return
         advance_commit(state, now)
--- a/packages/core/src/bergamotwood_core/replication.py
+++ b/packages/core/src/bergamotwood_core/replication.py
@@ -55,8 +55,8 @@
     leadership = state.leadership
     if leadership is None or leadership.transfer_to is not None:
         return False
-    settled = state.log.membership_index <= state.commit
-    return settled and has_committed_in_term(state)
+    no_pending_change = state.log.membership_index <= state.commit
+    return no_pending_change and has_committed_in_term(state)
 
 
 def has_committed_in_term(state: ReplicaState) -> bool:
@@ -301,6 +301,6 @@
         if voter == state.replica:
             matches.append(leadership.synced_index)
         else:
-            held = leadership.progress.get(voter)
-            matches.append(held.match if held else 0)
+            progress = leadership.progress.get(voter)
+            matches.append(progress.match if progress else 0)
     return LogIndex(int(find_majority_value(matches)))
--- a/tests/core/logcluster.py
+++ b/tests/core/logcluster.py
@@ -137,7 +137,7 @@
             if self.rng.random() < 0.03 or not self.faults:
                 self.start(node)
         elif self.now >= node.paused_until:
-            self._act(node)
+            self._run_node(node)
 
     def start(self, node):
         saved = node.disk.load()
@@ -209,12 +209,12 @@
 
     def restore(self, node, snapshot):
         node.applied = [tuple(item) for item in decode(snapshot.data)]
-        wanted = [
+        expected = [
             (entry.index, entry.command)
             for entry in self.committed[: snapshot.index]
             if entry.kind is EntryKind.COMMAND
         ]
-        if node.applied != wanted:
+        if node.applied != expected:
             raise InvariantError(
                 f"snapshot {snapshot.index} differs from the committed entries"
             )
@@ -350,11 +350,11 @@
 
     def _check_age(self, node):
         confirmed = node.confirmed_at - node.clock_offset
-        due = bisect_left(self.committed_at, confirmed - 1e-9)
-        if node.applied_index < due:
+        committed = bisect_left(self.committed_at, confirmed - 1e-9)
+        if node.applied_index < committed:
             raise InvariantError(
                 f"{node.instance} applied {node.applied_index} but claims to be as "
-                f"new as {confirmed:.3f}, when {due} was committed"
+                f"new as {confirmed:.3f}, when {committed} was committed"
             )
 
     # -- internals -----------------------------------------------------------
@@ -366,7 +366,7 @@
             self.start(node)
         return node
 
-    def _act(self, node):
+    def _run_node(self, node):
         if node.unsynced is not None:
             self.sync(node)
             return
--- a/tests/core/test_ticket.py
+++ b/tests/core/test_ticket.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "phrase"),
     [
         ("number: 1\nnumber: 2\n", "duplicate key 'number'"),
         ('{"number": 1, "number": 2}', "duplicate key 'number'"),
@@ -97,8 +97,8 @@
         ("? [1, 2]\n: 3\n", "document"),
     ],
 )
-def test_ambiguous_or_malformed_documents_are_refused(text, word):
-    assert any(word in fault for fault in find_faults(text))
+def test_ambiguous_or_malformed_documents_are_refused(text, phrase):
+    assert any(phrase in fault for fault in find_faults(text))
 
 
 def test_digest_does_not_depend_on_formatting():
