--- a/packages/core/src/bergamotwood_core/bootstrap.py
+++ b/packages/core/src/bergamotwood_core/bootstrap.py
@@ -120,7 +120,7 @@
 
 
 def repair_membership(state: ReplicaState, now: Seconds) -> None:
-    """Make the next change of membership that promotes or replaces a replica."""
+    """Append the next change that adds, promotes or removes a member, if any."""
     if not can_change_membership(state):
         return
     change = _choose_promotion(state, now) or _choose_repair(state, now)
--- a/packages/core/src/bergamotwood_core/election.py
+++ b/packages/core/src/bergamotwood_core/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes and refusing them while a leader is heard."""
+"""Elections: pre-votes, votes, and their refusal while a leader is heard."""
 
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import LogIndex, Term
--- a/tests/core/logcluster.py
+++ b/tests/core/logcluster.py
@@ -354,7 +354,7 @@
         if node.applied_index < committed:
             raise InvariantError(
                 f"{node.instance} applied {node.applied_index} but claims to be as "
-                f"new as {confirmed:.3f}, when {committed} was committed"
+                f"new as {confirmed:.3f}, when {committed} were committed"
             )
 
     # -- internals -----------------------------------------------------------
