--- a/tests/daemon/gateway/harness.py
+++ b/tests/daemon/gateway/harness.py
@@ -1,4 +1,4 @@
-"""An entry of the gateway between raw sockets: fake endpoints and plain callers."""
+"""Gateway entry under test, with fake endpoints and raw HTTP callers."""
 
 from random import Random
 from socket import SHUT_WR
@@ -32,7 +32,7 @@
 
 
 class PlainDialect:
-    """Header fields of the tests; a document is the name of a configuration."""
+    """Maps short header names to terms; every document is `configuration`."""
 
     def __init__(self, configuration):
         self.configuration = configuration
@@ -80,7 +80,7 @@
 
 
 class Arrival:
-    """A request at a fake endpoint, with its connection."""
+    """A request that a fake endpoint received, with its connection."""
 
     def __init__(self, sock, head, body):
         self.sock = sock
@@ -118,13 +118,13 @@
         self.send("0\r\n\r\n")
 
     def wait_for_close(self):
-        """Return whether the router closes the connection."""
+        """Return whether the gateway closes the connection."""
         self.sock.settimeout(WAIT_SECONDS)
         return self.sock.recv(1) == b""
 
 
 class FakeEndpoint:
-    """Runs `act` for each request that arrives."""
+    """Endpoint that calls `act` for each request; False closes the connection."""
 
     def __init__(self, name, act):
         self.name = name
@@ -177,7 +177,7 @@
 
 
 class Reply:
-    """An answer as a caller gets it."""
+    """A response as a caller receives it."""
 
     def __init__(self, head, body, is_whole):
         fields = head.headers if head else []
@@ -188,7 +188,7 @@
 
 
 class Caller:
-    """A caller's connection."""
+    """A caller with one connection to the gateway."""
 
     def __init__(self, port):
         self.sock = create_connection(("127.0.0.1", port), timeout=WAIT_SECONDS)
@@ -230,7 +230,7 @@
                     self._receive()
 
     def read_events(self, count):
-        """Return the bytes so far once they hold this many events."""
+        """Read until `count` events have arrived, and return the text so far."""
         body = b""
         while body.count(b"\n\n") < count:
             event = self.http.next_event()
@@ -258,7 +258,7 @@
 
 
 class GatewayHarness:
-    """An entry with a configuration and fake endpoints."""
+    """Runs an entry and its HTTP server with a configuration and fake endpoints."""
 
     def __init__(self, configuration=None, **endpoints):
         self.configuration = configuration or make_configuration()
@@ -301,7 +301,7 @@
         return read_clock() + self.clock_offset
 
     def sync(self, number=None, **changes):
-        """Let the entry hear from the control group."""
+        """Give the entry a reply of the control group."""
         values = {
             "age_seconds": 0.0,
             "replicas": (),
--- a/tests/daemon/gateway/test_controlstate.py
+++ b/tests/daemon/gateway/test_controlstate.py
@@ -62,7 +62,7 @@
     clock.now += 1.0
     control_state.update(make_reply(5), clock())
     assert control_state.number == 7
-    # The replica is behind, so what it confirms says nothing of number 7.
+    # The replica lags behind, so its reply does not confirm configuration 7.
     assert control_state.age == age + 1.0
 
 
--- a/tests/daemon/gateway/test_entries.py
+++ b/tests/daemon/gateway/test_entries.py
@@ -16,7 +16,7 @@
 
 
 class Clock:
-    """Time that a test sets."""
+    """Clock that a test sets."""
 
     def __init__(self):
         self.now = Seconds(10.0)
--- a/tests/daemon/gateway/test_explanation.py
+++ b/tests/daemon/gateway/test_explanation.py
@@ -1,4 +1,4 @@
-"""The three walk-throughs of docs/OPERATIONS.md, followed step by step."""
+"""Follows the three walk-throughs of docs/OPERATIONS.md step by step."""
 
 import pytest
 from click.testing import CliRunner
--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -89,7 +89,7 @@
 
     route = configure(timeout_seconds=300.0)
     harness = make_harness(route, one=disconnect_and_age, two=disconnect_and_age)
-    # It may have run: nothing may say that it has not.
+    # The first attempt may have run, so the response must not be a refusal.
     assert harness.connect().call(patience="300").status == 502
     assert len(harness.list_arrivals()) == 1
 
@@ -420,7 +420,7 @@
     harness = make_two_model_harness(make_harness)
     route = harness.entry.control_state.routing.configuration.routes[0].name
     for _ in range(10):
-        # An event of ten tokens each half second.
+        # Ten events of ten tokens each, one every half second.
         timing = Timing(0.5, 5.5, 10)
         harness.entry.pace.record(route, ModelName("large"), timing, 100)
     long = harness.connect().call(patience="20", model="any", expected="400")
@@ -443,7 +443,7 @@
     crashed = len(harness.list_arrivals())
     assert harness.connect().call("PUT", body=b"poison").status == 503
     assert len(harness.list_arrivals()) == crashed
-    # Another body is another request.
+    # A request with another body has another fingerprint.
     assert harness.connect().call("PUT", body=b"sound").status == 502
 
 
@@ -459,7 +459,7 @@
     reply = harness.connect().call(patience="20")
     assert list_ids(reply.body) == ["1", "2", "3", "4", "5", "6"]
     assert len(seen) == 2
-    # With its beats coming, an engine may take long to read a prompt.
+    # While heartbeats arrive, an endpoint may take long to process a prompt.
     waiting = make_harness(
         configure(**STREAM, objective_seconds=0.1), one=hang, two=hang
     )
@@ -478,6 +478,6 @@
         return False
 
     harness = make_harness(one=disconnect_and_revoke, two=disconnect_and_revoke)
-    # The first attempt may have run, so this is no plain refusal.
+    # The first attempt may have run, so the response must not be a refusal.
     assert harness.connect().call().status == 502
     assert len(harness.list_arrivals()) == 1
--- a/tests/daemon/gateway/test_replica.py
+++ b/tests/daemon/gateway/test_replica.py
@@ -37,14 +37,14 @@
 
 
 class NumberDialect(PlainDialect):
-    """A document is the number of the configuration that it stands for."""
+    """Decodes a document that consists of a configuration number."""
 
     def decode_configuration(self, document):
         return replace(self.configuration, number=int(document))
 
 
 class DirectChannel:
-    """Calls a replica of the same process, if it runs."""
+    """Calls a replica in the same process; fails if it is not running."""
 
     running = {}
 
@@ -55,7 +55,7 @@
         handler = self.running.get(self._address)
         sleep(0.001)
         if handler is None:
-            raise ReplicationError(f"{self._address}: not there", run=Run.NOT_RUN)
+            raise ReplicationError(f"{self._address}: not running", run=Run.NOT_RUN)
         act = {
             REPLICATE: handler.handle_replicate,
             PROPOSE: handler.handle_propose,
@@ -73,7 +73,7 @@
 
 
 class Fleet:
-    """Three replicas on loopback, and entries that poller them."""
+    """Three control replicas in this process, and entries that poll them."""
 
     def __init__(self, tmp_path):
         self.dialect = NumberDialect(make_configuration())
@@ -134,7 +134,7 @@
                 sleep(0.02)
 
     def retry(self, action):
-        """Repeat an order until it is answered, as operators do."""
+        """Retry an action until it succeeds, as operators do."""
         with Timeout(WAIT_SECONDS):
             while True:
                 try:
@@ -212,7 +212,7 @@
 
 
 def send_report(replica, number, hold_seconds=0.0, version=-1, boot=""):
-    """Return the bytes of the answer to one entry's report."""
+    """Report as entry `number`, and return the encoded reply."""
     status = EntryStatus(
         EntryAddress(InstanceId(f"127.0.0.1:{number}"), f"e{number}:80", "karen", True),
         Incarnation(1),
@@ -228,7 +228,7 @@
 
 
 def test_an_entry_is_not_sent_unchanged_state_again(fleet):
-    """Answers a fleet of many entries: what each is sent must not grow with them."""
+    """The size of a reply must not grow with the number of entries in the fleet."""
     _, leader = fleet.find(leads=True)
     for number in range(1, 3):
         send_report(leader, number)
@@ -241,7 +241,7 @@
     answer = send_report(leader, 1, version=news.version, boot=news.boot)
     assert SYNC_REPLY.decode(answer).entries is None
     assert SYNC_REPLY.decode(answer).loads["e-1"].requests == 2 * 98
-    # Larger numbers take some bytes more.
+    # Larger numbers take a few more bytes.
     assert len(answer) < 1.5 * few
 
 
--- a/tests/daemon/gateway/test_rollouts.py
+++ b/tests/daemon/gateway/test_rollouts.py
@@ -40,7 +40,7 @@
 
 
 def test_evidence_is_merged_once_for_entries_that_poll_together():
-    """Answers many entries that each ask several times a second."""
+    """Guards against a merge for every poll: entries poll several times a second."""
     control, _, entries, now = make_control()
     views = [control.list_views() for _ in range(100)]
     assert {view[0].rollout for view in views} == {RUNNING}
--- a/tests/daemon/gateway/test_server.py
+++ b/tests/daemon/gateway/test_server.py
@@ -141,7 +141,7 @@
     harness = make_harness(configure(), one=answer)
     caller = harness.connect()
     assert caller.call().status == 200
-    # Nothing else runs in between: the bytes wait in the kernel.
+    # No other greenlet runs in between, so the bytes are still in the kernel.
     caller.send(id="q-2")
     harness.server.close_idle()
     assert caller.read().status == 200
