--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -98,9 +98,9 @@
         The request.
     request : HttpRequest
         The HTTP request of the caller.
-    beat : EndpointHeartbeat
+    heartbeat : EndpointHeartbeat
         Newest heartbeat of the endpoint.
-    make_terms : callable
+    make_metadata : callable
         Returns the terms for the endpoint. It is called just before the request
         is sent, and raises when the request may no longer be sent.
     """
@@ -110,16 +110,16 @@
         entry: GatewayEntry,
         call: Call,
         request: HttpRequest,
-        beat: EndpointHeartbeat,
-        make_terms: Callable[[Call, "Attempt"], ForwardMetadata],
+        heartbeat: EndpointHeartbeat,
+        make_metadata: Callable[[Call, "Attempt"], ForwardMetadata],
     ) -> None:
-        self.beat = beat
+        self.heartbeat = heartbeat
         self.started_at = entry.clock()
         self.head_at = self.started_at
         self._entry = entry
         self._call = call
         self._request = request
-        self._make_terms = make_terms
+        self._make_metadata = make_metadata
         self._connection: EndpointConnection | None = None
 
     def fetch(self) -> Outcome:
@@ -189,7 +189,7 @@
         """Return the next event of the response; the endpoint counts as alive."""
         event = self._connection.receive(max(seconds, 0.0))
         self._entry.health.record_traffic(
-            self.beat.endpoint, self.beat.incarnation, self._entry.clock()
+            self.heartbeat.endpoint, self.heartbeat.incarnation, self._entry.clock()
         )
         return event
 
@@ -207,8 +207,8 @@
     def _send(self) -> None:
         request = self._request
         must_be_new = not self._call.route.is_retryable
-        self._connection = self._entry.pool.acquire(self.beat.address, must_be_new)
-        terms = self._make_terms(self._call, self)
+        self._connection = self._entry.pool.acquire(self.heartbeat.address, must_be_new)
+        terms = self._make_metadata(self._call, self)
         headers = self._entry.dialect.write_forward(
             strip_connection_fields(request.headers), terms
         )
@@ -234,7 +234,7 @@
             return False
         if now - self.started_at < SILENCE_CHECK_SECONDS:
             return False
-        return self._entry.placement.is_unresponsive(self.beat, now)
+        return self._entry.placement.is_unresponsive(self.heartbeat, now)
 
     def _check_head(self, head: h11.Response) -> h11.Response | Outcome:
         terms = self._entry.dialect.read_answer(list(head.headers))
--- a/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
@@ -44,7 +44,7 @@
         key_lease_seconds: float,
     ) -> None:
         self.routing: RoutingTable | None = None
-        self.beats: dict[EndpointId, EndpointHeartbeat] = {}
+        self.heartbeats: dict[EndpointId, EndpointHeartbeat] = {}
         self.entries: tuple[EntryAddress, ...] = ()
         self.loads: dict[EndpointId, EndpointLoad] = {}
         self.crashes: tuple[Crash, ...] = ()
@@ -115,8 +115,10 @@
         """
         if reply.document is not None and reply.number > self.number:
             self._load_document(reply.document)
-        if reply.beats is not None:
-            self.beats = {beat.endpoint: beat for beat in reply.beats}
+        if reply.heartbeats is not None:
+            self.heartbeats = {
+                heartbeat.endpoint: heartbeat for heartbeat in reply.heartbeats
+            }
         self.boot = reply.boot
         self.version = reply.version
         if reply.entries is not None:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
@@ -82,7 +82,7 @@
             settings.data_centre, self.health, self.loads.find, rng
         )
         self.counters = EntryCounters()
-        self.pace = LatencyTable()
+        self.latencies = LatencyTable()
         self.evidence = EvidenceCounter()
         self.suspects = SuspectTable()
         self.sessions = SessionVersions(bounds.session_seconds)
@@ -121,17 +121,17 @@
 
     def list_eligible_endpoints(self, call: Call) -> list[list[EndpointHeartbeat]]:
         """Return endpoints whose version may get a request, preferred group first."""
-        beats = [
-            beat
-            for beat in self.control_state.beats.values()
-            if beat.service == call.service
+        heartbeats = [
+            heartbeat
+            for heartbeat in self.control_state.heartbeats.values()
+            if heartbeat.service == call.service
         ]
         view = self.control_state.rollouts.get(call.service)
         if view is None:
-            return [beats]
+            return [heartbeats]
         target = view.rollout.target
-        new = [beat for beat in beats if beat.version == target]
-        old = [beat for beat in beats if beat.version != target]
+        new = [heartbeat for heartbeat in heartbeats if heartbeat.version == target]
+        old = [heartbeat for heartbeat in heartbeats if heartbeat.version != target]
         match view.rollout.outcome:
             case RolloutOutcome.COMPLETED:
                 return [new, old]
@@ -148,10 +148,14 @@
         )
 
     def record_outcome(
-        self, call: Call, beat: EndpointHeartbeat, is_bad: bool, timing: Timing | None
+        self,
+        call: Call,
+        heartbeat: EndpointHeartbeat,
+        is_bad: bool,
+        timing: Timing | None,
     ) -> None:
         """Record how a request ended, for roll-out evidence and usual timings."""
-        is_slow = timing is not None and self.pace.is_slow(
+        is_slow = timing is not None and self.latencies.is_slow(
             call.route.name, call.model, timing
         )
         view = self.control_state.rollouts.get(call.service)
@@ -159,18 +163,20 @@
             view is not None and view.rollout.outcome is RolloutOutcome.IN_PROGRESS
         )
         if in_rollout:
-            self.evidence.record(view.rollout, beat.version, call, is_bad or is_slow)
-        is_baseline = not in_rollout or beat.version != view.rollout.target
+            self.evidence.record(
+                view.rollout, heartbeat.version, call, is_bad or is_slow
+            )
+        is_baseline = not in_rollout or heartbeat.version != view.rollout.target
         if timing is not None and not is_bad and is_baseline:
-            self.pace.record(
+            self.latencies.record(
                 call.route.name, call.model, timing, call.terms.expected_tokens
             )
 
     def maintain(self) -> None:
         """Drop expired connections and state; to be called about every second."""
         self.pool.expire()
-        self.health.retain(set(self.control_state.beats))
-        self.placement.prefix_cache.retain(set(self.control_state.beats))
+        self.health.retain(set(self.control_state.heartbeats))
+        self.placement.prefix_cache.retain(set(self.control_state.heartbeats))
         self.budget.instance_count = max(len(self.control_state.entries), 1)
 
     def list_gauges(self) -> dict[str, float]:
@@ -178,7 +184,7 @@
         return {
             "configuration_number": self.control_state.number,
             "belief_age_seconds": round(self.control_state.age, 3),
-            "endpoints": len(self.control_state.beats),
+            "endpoints": len(self.control_state.heartbeats),
             "entries": len(self.control_state.entries),
             "outstanding": self.loads.count_requests(),
             "connections_opened_total": self.pool.opened,
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -153,7 +153,7 @@
         return holder
 
     def _choose_model(self, call: Call) -> ModelName:
-        available = list_models(self._entry.control_state.beats.values(), call)
+        available = list_models(self._entry.control_state.heartbeats.values(), call)
         model = choose_first_model(call.route.models, available)
         if model is None:
             raise RefusedError(
@@ -196,8 +196,8 @@
         self, call: Call, last: Outcome | None, relay: StreamRelay
     ) -> Candidate:
         entry = self._entry
-        for beats in entry.list_eligible_endpoints(call):
-            chosen = entry.placement.choose(beats, call, entry.clock())
+        for heartbeats in entry.list_eligible_endpoints(call):
+            chosen = entry.placement.choose(heartbeats, call, entry.clock())
             if chosen is not None:
                 return chosen
         if last is not None and not isinstance(last, NotRun):
@@ -231,18 +231,20 @@
         relay: StreamRelay,
     ) -> Outcome:
         entry = self._entry
-        beat = candidate.heartbeat
+        heartbeat = candidate.heartbeat
         started_at = entry.clock()
         request = call.terms.request
         prefill_seconds = entry.placement.estimate_prefill(candidate, call)
-        entry.loads.add_request(beat.endpoint, request, prefill_seconds)
+        entry.loads.add_request(heartbeat.endpoint, request, prefill_seconds)
         entry.placement.record_send(candidate, call)
-        attempt = Attempt(entry, call, exchange.request, beat, self._make_forward_terms)
+        attempt = Attempt(
+            entry, call, exchange.request, heartbeat, self._make_forward_metadata
+        )
         outcome: Outcome | None = None
         try:
             outcome = self._run_attempt(call, candidate, attempt, exchange, relay)
         finally:
-            entry.loads.remove_request(beat.endpoint, request)
+            entry.loads.remove_request(heartbeat.endpoint, request)
             attempt.close()
             if outcome is not None:
                 timing = self._measure_timing(outcome, attempt, relay, started_at)
@@ -275,7 +277,7 @@
                 "attempt",
                 "Answer dropped for a larger model.",
                 **_make_call_fields(call),
-                endpoint=attempt.beat.endpoint,
+                endpoint=attempt.heartbeat.endpoint,
                 confidence=call.confidence,
                 larger=larger,
             )
@@ -301,7 +303,7 @@
             return None
         if not self._entry.budget.allows(call.service, self._entry.clock()):
             return None
-        available = list_models(self._entry.control_state.beats.values(), call)
+        available = list_models(self._entry.control_state.heartbeats.values(), call)
         return choose_next_model(
             call.route.models,
             available,
@@ -312,7 +314,7 @@
 
     def _has_time(self, call: Call, model: ModelName) -> bool:
         """Whether a model is expected to complete its answer before the deadline."""
-        seconds = self._entry.pace.estimate(
+        seconds = self._entry.latencies.estimate(
             call.route.name, model, call.terms.expected_tokens
         )
         left = call.deadline - self._entry.clock()
@@ -329,10 +331,10 @@
         )
         return False
 
-    def _make_forward_terms(self, call: Call, attempt: Attempt) -> ForwardMetadata:
+    def _make_forward_metadata(self, call: Call, attempt: Attempt) -> ForwardMetadata:
         self._recheck_key(call)
         return ForwardMetadata(
-            endpoint=attempt.beat.endpoint,
+            endpoint=attempt.heartbeat.endpoint,
             patience_seconds=call.deadline - self._entry.clock(),
             workspace=call.holder.workspace if call.holder else None,
             model=call.model if call.terms.leaves_model_open else ModelName(""),
@@ -387,11 +389,11 @@
         timing: Timing,
     ) -> None:
         entry = self._entry
-        beat = candidate.heartbeat
+        heartbeat = candidate.heartbeat
         result = outcome.result
         entry.health.record_result(
-            beat.endpoint,
-            beat.incarnation,
+            heartbeat.endpoint,
+            heartbeat.incarnation,
             result,
             timing.whole_seconds,
             entry.clock(),
@@ -399,10 +401,13 @@
         entry.counters.count_attempt(call, result)
         if isinstance(outcome, Answered | Delivered | MayHaveRun):
             is_bad = result is not AttemptResult.OK
-            entry.record_outcome(call, beat, is_bad, None if is_bad else timing)
+            entry.record_outcome(call, heartbeat, is_bad, None if is_bad else timing)
         if isinstance(outcome, MayHaveRun) and result is AttemptResult.BROKEN:
             entry.suspects.record_crash(
-                call.fingerprint, beat.endpoint, beat.incarnation, entry.clock()
+                call.fingerprint,
+                heartbeat.endpoint,
+                heartbeat.incarnation,
+                entry.clock(),
             )
         if result is AttemptResult.OK:
             entry.suspects.record_success(call.fingerprint, entry.clock())
@@ -411,12 +416,12 @@
             "attempt",
             "Attempt failed.",
             **_make_call_fields(call),
-            endpoint=beat.endpoint,
-            address=beat.address,
+            endpoint=heartbeat.endpoint,
+            address=heartbeat.address,
             number=len(call.tried),
             result=result,
             reason=outcome.reason,
-            version=beat.version,
+            version=heartbeat.version,
             milliseconds=round(1000 * timing.whole_seconds, 1),
             failure_rate=round(candidate.health.failure_rate, 2),
             configuration=entry.control_state.number,
--- a/packages/daemon/src/bergamotwood_daemon/gateway/peermessages.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/peermessages.py
@@ -113,7 +113,7 @@
         Newest roll-out of each service.
     boot, version : str, int
         Run of the replica's process, and version of its directory.
-    beats : tuple of EndpointHeartbeat or None
+    heartbeats : tuple of EndpointHeartbeat or None
         Newest heartbeat of each endpoint; None if the entry has this version.
     entries : tuple of EntryAddress or None
         All live entries; None if the entry has this version.
@@ -137,7 +137,7 @@
     rollouts: tuple[RolloutView, ...]
     boot: str
     version: int
-    beats: tuple[EndpointHeartbeat, ...] | None
+    heartbeats: tuple[EndpointHeartbeat, ...] | None
     entries: tuple[EntryAddress, ...] | None
     loads: dict[EndpointId, EndpointLoad] = {}
     crashes: tuple[Crash, ...] = ()
@@ -153,7 +153,7 @@
     report.
     """
 
-    beats: tuple[EndpointHeartbeat, ...]
+    heartbeats: tuple[EndpointHeartbeat, ...]
     statuses: tuple[EntryStatus, ...]
 
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -88,7 +88,7 @@
 MAX_LONG_POLL_SECONDS = 2.0
 # Heartbeat intervals without a heartbeat after which an endpoint is silent: one
 # heartbeat may be lost.
-SILENT_AFTER_BEATS = 2.2
+SILENT_AFTER_HEARTBEATS = 2.2
 
 
 class GatewayReplica:
@@ -124,7 +124,7 @@
         self.directory = EndpointDirectory(ENDPOINT_EXPIRY_SECONDS)
         self.entries = EntryTable(clock)
         self._state_changed = Event()
-        self._pending_beats: list[EndpointHeartbeat] = []
+        self._pending_heartbeats: list[EndpointHeartbeat] = []
         self._pending_statuses: list[EntryStatus] = []
         self._applied_number = -1
         self._notified_version = -1
@@ -230,7 +230,7 @@
                 return rollout
         return None
 
-    def record_heartbeat(self, beat: EndpointHeartbeat) -> None:
+    def record_heartbeat(self, heartbeat: EndpointHeartbeat) -> None:
         """Store a heartbeat, or commit the departure of an endpoint that leaves.
 
         Raises
@@ -238,15 +238,17 @@
         ReplicationError
             When no majority confirms the departure in time.
         """
-        if beat.state is EndpointState.LEAVING:
-            self.record_departure(beat.endpoint, beat.incarnation, beat.state)
+        if heartbeat.state is EndpointState.LEAVING:
+            self.record_departure(
+                heartbeat.endpoint, heartbeat.incarnation, heartbeat.state
+            )
             return
         version = self.directory.version
-        if not self.directory.apply_heartbeat(beat, self._clock()):
+        if not self.directory.apply_heartbeat(heartbeat, self._clock()):
             return
-        self._pending_beats.append(beat)
+        self._pending_heartbeats.append(heartbeat)
         if self.directory.version != version:
-            self._log_endpoint(beat)
+            self._log_endpoint(heartbeat)
         self._notify_if_changed()
 
     def record_departure(
@@ -272,8 +274,10 @@
             When no majority confirms it in time.
         """
         if incarnation is None:
-            known_beat = self.directory.find(endpoint)
-            incarnation = known_beat.incarnation if known_beat else Incarnation(0)
+            known_heartbeat = self.directory.find(endpoint)
+            incarnation = (
+                known_heartbeat.incarnation if known_heartbeat else Incarnation(0)
+            )
         outcome = self._commit(RecordDeparture(endpoint, incarnation, state))
         if outcome.changed:
             log_event("directory", "Endpoint leaves.", endpoint=endpoint, state=state)
@@ -323,10 +327,10 @@
         match POLL.decode(body):
             case SyncRequest() as request:
                 return ENCODER.encode(self._answer_sync(request))
-            case Relay(beats, statuses):
+            case Relay(heartbeats, statuses):
                 now = self._clock()
-                for beat in beats:
-                    self.directory.apply_heartbeat(beat, now)
+                for heartbeat in heartbeats:
+                    self.directory.apply_heartbeat(heartbeat, now)
                 for status in statuses:
                     self.entries.update(status)
                 self._notify_if_changed()
@@ -343,17 +347,17 @@
             # The next expiry run decides the same outcome again.
             log_event("rollout", "Outcome not committed.", reason=error.detail)
 
-    def _log_endpoint(self, beat: EndpointHeartbeat) -> None:
+    def _log_endpoint(self, heartbeat: EndpointHeartbeat) -> None:
         log_event(
             "directory",
             "Endpoint announced.",
-            endpoint=beat.endpoint,
-            incarnation=beat.incarnation,
-            sequence=beat.sequence,
-            service=beat.service,
-            address=beat.address,
-            version=beat.version,
-            models=beat.models,
+            endpoint=heartbeat.endpoint,
+            incarnation=heartbeat.incarnation,
+            sequence=heartbeat.sequence,
+            service=heartbeat.service,
+            address=heartbeat.address,
+            version=heartbeat.version,
+            models=heartbeat.models,
         )
 
     @property
@@ -379,7 +383,7 @@
             rollouts=self.rollouts.list_views(),
             boot=self._boot,
             version=self._directory_version,
-            beats=None if is_current else self.directory.list_heartbeats(),
+            heartbeats=None if is_current else self.directory.list_heartbeats(),
             entries=None if is_current else self.entries.list_addresses(),
             loads=self.entries.list_loads(instance),
             crashes=self.entries.list_crashes(instance),
@@ -387,7 +391,7 @@
             open_sessions=self.entries.list_open_sessions(),
             silent=self.directory.list_silent(
                 self._clock(),
-                SILENT_AFTER_BEATS * self._settings.bounds.heartbeat_seconds,
+                SILENT_AFTER_HEARTBEATS * self._settings.bounds.heartbeat_seconds,
             ),
         )
 
@@ -502,12 +506,12 @@
     def _run_relay(self) -> None:
         while True:
             sleep(RELAY_INTERVAL_SECONDS)
-            if not self._pending_beats and not self._pending_statuses:
+            if not self._pending_heartbeats and not self._pending_statuses:
                 continue
             body = ENCODER.encode(
-                Relay(tuple(self._pending_beats), tuple(self._pending_statuses))
+                Relay(tuple(self._pending_heartbeats), tuple(self._pending_statuses))
             )
-            self._pending_beats.clear()
+            self._pending_heartbeats.clear()
             self._pending_statuses.clear()
             for instance in self._list_replicas():
                 if instance != self._settings.instance:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
@@ -132,9 +132,9 @@
 
     def _has_capacity(self, rollout: ServiceRollout) -> bool:
         versions = [
-            beat.version
-            for beat in self._directory.list_heartbeats()
-            if beat.service == rollout.service
+            heartbeat.version
+            for heartbeat in self._directory.list_heartbeats()
+            if heartbeat.service == rollout.service
         ]
         new_count = versions.count(rollout.target)
         return new_count > 0 and new_count >= MIN_CAPACITY_FRACTION * (
@@ -143,9 +143,10 @@
 
     def _count_old_version_requests(self, rollout: ServiceRollout) -> int:
         old_endpoints = {
-            beat.endpoint
-            for beat in self._directory.list_heartbeats()
-            if beat.service == rollout.service and beat.version != rollout.target
+            heartbeat.endpoint
+            for heartbeat in self._directory.list_heartbeats()
+            if heartbeat.service == rollout.service
+            and heartbeat.version != rollout.target
         }
         return sum(
             load.requests
--- a/tests/daemon/gateway/harness.py
+++ b/tests/daemon/gateway/harness.py
@@ -280,7 +280,7 @@
         self.endpoints = {
             name: FakeEndpoint(name, act) for name, act in endpoints.items()
         }
-        self.beats = [
+        self.heartbeats = [
             make_heartbeat(
                 name,
                 address=endpoint.address,
@@ -310,7 +310,7 @@
             "rollouts": (),
             "boot": "b",
             "version": 1,
-            "beats": tuple(self.beats),
+            "heartbeats": tuple(self.heartbeats),
             "entries": (),
         }
         self.entry.control_state.update(
@@ -338,4 +338,4 @@
         ]
 
     def remove_endpoint(self, name):
-        del self.entry.control_state.beats[EndpointId(name)]
+        del self.entry.control_state.heartbeats[EndpointId(name)]
--- a/tests/daemon/gateway/test_controlstate.py
+++ b/tests/daemon/gateway/test_controlstate.py
@@ -38,7 +38,7 @@
         rollouts=(),
         boot="b",
         version=1,
-        beats=(),
+        heartbeats=(),
         entries=(),
     )
     return replace(reply, **changes)
--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -403,8 +403,10 @@
     harness = make_harness(
         configure(**STREAM, models=models), one=answer_by_model, two=answer_by_model
     )
-    for endpoint, beat in harness.entry.control_state.beats.items():
-        harness.entry.control_state.beats[endpoint] = replace(beat, models=models)
+    for endpoint, heartbeat in harness.entry.control_state.heartbeats.items():
+        harness.entry.control_state.heartbeats[endpoint] = replace(
+            heartbeat, models=models
+        )
     return harness
 
 
@@ -422,7 +424,7 @@
     for _ in range(10):
         # Ten events of ten tokens each, one every half second.
         timing = Timing(0.5, 5.5, 10)
-        harness.entry.pace.record(route, ModelName("large"), timing, 100)
+        harness.entry.latencies.record(route, ModelName("large"), timing, 100)
     long = harness.connect().call(patience="20", model="any", expected="400")
     assert "data: small" in long.body
     assert list_ids(long.body) == ["1", "2", "3"]
--- a/tests/daemon/gateway/test_replica.py
+++ b/tests/daemon/gateway/test_replica.py
@@ -189,18 +189,24 @@
     fleet.replicas[seeds[0]].record_heartbeat(make_heartbeat())
     endpoint = EndpointId("e-1")
     fleet.wait_for(
-        lambda: all(endpoint in control_state.beats for control_state in control_states)
+        lambda: all(
+            endpoint in control_state.heartbeats for control_state in control_states
+        )
     )
     leaving = make_heartbeat(sequence=Sequence(2), state=EndpointState.LEAVING)
     fleet.retry(lambda: fleet.replicas[seeds[1]].record_heartbeat(leaving))
     fleet.wait_for(
         lambda: (
-            not any(endpoint in control_state.beats for control_state in control_states)
+            not any(
+                endpoint in control_state.heartbeats for control_state in control_states
+            )
         )
     )
     fleet.replicas[seeds[2]].record_heartbeat(make_heartbeat(sequence=Sequence(3)))
     sleep(0.3)
-    assert not any(endpoint in control_state.beats for control_state in control_states)
+    assert not any(
+        endpoint in control_state.heartbeats for control_state in control_states
+    )
 
 
 def test_entries_list_each_other_until_one_stops_reporting(fleet):
@@ -232,17 +238,19 @@
     _, leader = fleet.find(leads=True)
     for number in range(1, 3):
         send_report(leader, number)
-    news = SYNC_REPLY.decode(send_report(leader, 1))
-    few = len(send_report(leader, 1, version=news.version, boot=news.boot))
+    reply = SYNC_REPLY.decode(send_report(leader, 1))
+    small_fleet_bytes = len(
+        send_report(leader, 1, version=reply.version, boot=reply.boot)
+    )
     for number in range(3, 100):
         send_report(leader, number)
-    news = SYNC_REPLY.decode(send_report(leader, 1))
-    assert len(news.entries) == 99
-    answer = send_report(leader, 1, version=news.version, boot=news.boot)
+    reply = SYNC_REPLY.decode(send_report(leader, 1))
+    assert len(reply.entries) == 99
+    answer = send_report(leader, 1, version=reply.version, boot=reply.boot)
     assert SYNC_REPLY.decode(answer).entries is None
     assert SYNC_REPLY.decode(answer).loads["e-1"].requests == 2 * 98
     # Larger numbers take a few more bytes.
-    assert len(answer) < 1.5 * few
+    assert len(answer) < 1.5 * small_fleet_bytes
 
 
 def test_committed_state_survives_losing_the_leader_and_its_disk(fleet):
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -154,7 +154,7 @@
 
 def test_metrics_are_served_as_text():
     harness = GatewayHarness()
-    harness.beats = [make_heartbeat()]
+    harness.heartbeats = [make_heartbeat()]
     harness.sync()
     table = EntryCalls(harness.entry).make_metrics_table()
     text = call(table, "GET", "/metrics").body.decode()
