--- a/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
@@ -55,7 +55,7 @@
         self._directory = directory
         self._entries = entries
         self._clock = clock
-        self._watches: dict[LogIndex, RegressionDetector] = {}
+        self._detectors: dict[LogIndex, RegressionDetector] = {}
         self._views: tuple[RolloutView, ...] = ()
         self._views_made_at = Seconds(float("-inf"))
 
@@ -88,13 +88,15 @@
         return settlements
 
     def _decide_outcome(self, rollout: ServiceRollout) -> RolloutOutcome:
-        watch = self._watches.setdefault(rollout.index, RegressionDetector())
+        detector = self._detectors.setdefault(rollout.index, RegressionDetector())
         evidence = self._merge_evidence()
-        harm = watch.find_regressed_route(rollout, evidence, self._clock())
+        regressed_route = detector.find_regressed_route(
+            rollout, evidence, self._clock()
+        )
         view = self._make_view(rollout, evidence)
         outstanding = self._count_old_version_requests(rollout)
         outcome = choose_outcome(
-            rollout, view.elapsed_seconds, harm, view.share, outstanding
+            rollout, view.elapsed_seconds, regressed_route, view.share, outstanding
         )
         if outcome is not RolloutOutcome.IN_PROGRESS:
             log_event(
@@ -103,7 +105,7 @@
                 service=rollout.service,
                 target=rollout.target,
                 outcome=outcome,
-                harmed_route=harm,
+                harmed_route=regressed_route,
                 elapsed=round(view.elapsed_seconds, 2),
                 outstanding_before=outstanding,
                 evidence=[
