--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -101,8 +101,8 @@
     heartbeat : EndpointHeartbeat
         Newest heartbeat of the endpoint.
     make_metadata : callable
-        Returns the terms for the endpoint. It is called just before the request
-        is sent, and raises when the request may no longer be sent.
+        Returns the metadata to send to the endpoint. It is called just before
+        the request is sent, and raises when the request may no longer be sent.
     """
 
     def __init__(
