--- a/packages/daemon/src/bergamotwood_daemon/admittance.py
+++ b/packages/daemon/src/bergamotwood_daemon/admissiongate.py
@@ -14,12 +14,12 @@
 from bergamotwood_core.errors import Code, RefusedError
 from bergamotwood_core.ids import RequestId
 from bergamotwood_core.tables import DirectoryTables, Endpoint, InFlight
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 
 DISPLACED_RETRY_SECONDS = 1.0
 
 
-class Admittance:
+class AdmissionGate:
     """Keeps each request waiting until the queue lets it run or refuses it.
 
     Parameters
@@ -33,7 +33,7 @@
         self._admission = entry.admission
         self._waiting: dict[RequestId, AsyncResult[None]] = {}
 
-    def enter(self, work: Work, pool: str) -> None:
+    def acquire(self, context: RequestContext, pool: str) -> None:
         """Wait for a slot of a pool, and count the request as in flight.
 
         Raises
@@ -41,23 +41,23 @@
         RefusedError
             At once when the request is given up on; nothing ran.
         """
-        work.trace.annotate(request=work.id, workspace=work.workspace.name)
+        context.trace.annotate(request=context.id, workspace=context.workspace.name)
         try:
-            self._entry.claims.check_room()
-            self._entry.retries.record_offered()
-            self._wait_for_slot(work, pool)
+            self._entry.claims.check_backlog()
+            self._entry.retry_budget.record_offered()
+            self._wait_for_slot(context, pool)
         except RefusedError:
-            work.trace.end()
+            context.trace.end()
             raise
-        self._entry.tables.in_flight[work.id] = InFlight(
-            work.id, work.workspace.key, self._entry.clock(), work.fingerprint
+        self._entry.tables.in_flight[context.id] = InFlight(
+            context.id, context.workspace.key, self._entry.clock(), context.fingerprint
         )
 
-    def leave(self, work: Work) -> None:
+    def release(self, context: RequestContext) -> None:
         """Give the slot back; a second call changes nothing."""
-        self._entry.tables.in_flight.pop(work.id, None)
-        self._admit_all(self._admission.release(work.id, self._entry.clock()))
-        work.trace.end()
+        self._entry.tables.in_flight.pop(context.id, None)
+        self._admit_all(self._admission.release(context.id, self._entry.clock()))
+        context.trace.end()
 
     def expire(self, now: Seconds) -> None:
         """Refuse whoever can no longer start in time."""
@@ -76,19 +76,19 @@
             )
             self._admit_all(self._admission.set_limit(pool, limit, now))
 
-    def _wait_for_slot(self, work: Work, pool: str) -> None:
+    def _wait_for_slot(self, context: RequestContext, pool: str) -> None:
         now = self._entry.clock()
         decision = self._admission.offer(
-            work.id, work.workspace, work.priority, work.deadline, now, pool
+            context.id, context.workspace, context.priority, context.deadline, now, pool
         )
         match decision:
             case Admitted():
                 return
             case Refused(code, retry_after):
-                raise _refuse(code, retry_after)
+                raise _make_refusal(code, retry_after)
             case Queued(displaced):
                 self._refuse_all(displaced, Code.OVERLOADED)
-                self._wait(work.id)
+                self._wait(context.id)
 
     def _wait(self, id: RequestId) -> None:
         outcome: AsyncResult[None] = AsyncResult()
@@ -104,7 +104,9 @@
 
     def _refuse_all(self, ids: tuple[RequestId, ...], code: Code) -> None:
         for id in ids:
-            self._waiting[id].set_exception(_refuse(code, DISPLACED_RETRY_SECONDS))
+            self._waiting[id].set_exception(
+                _make_refusal(code, DISPLACED_RETRY_SECONDS)
+            )
 
 
 @dataclass(slots=True)
@@ -125,7 +127,7 @@
         total.outstanding += endpoint.outstanding
 
 
-def _refuse(code: Code, retry_after: float) -> RefusedError:
+def _make_refusal(code: Code, retry_after: float) -> RefusedError:
     reason = {
         Code.WORKSPACE_LIMIT: "the workspace has too many requests in flight",
         Code.DEADLINE_EXCEEDED: "the request cannot start before its deadline",
--- a/packages/daemon/src/bergamotwood_daemon/answer.py
+++ b/packages/daemon/src/bergamotwood_daemon/answer.py
@@ -18,13 +18,13 @@
 from bergamotwood_core.target import VersionTarget
 from bergamotwood_daemon.attempts import (
     OpenAttempt,
-    Outgoing,
+    OutgoingRequest,
     allow_retry,
+    handle_failure,
     open_attempt,
-    settle_failure,
 )
 from bergamotwood_daemon.endpointcall import Header
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 
 CHAT_PATH = "/v1/chat/completions"
 DONE = b"[DONE]"
@@ -59,7 +59,7 @@
     ----------
     entry : Entry
         Where the request came in.
-    work : Work
+    context : RequestContext
         The request.
     version : Version
         What answers it.
@@ -67,14 +67,16 @@
         The caller's chat request.
     """
 
-    def __init__(self, entry: Entry, work: Work, version: Version, document: dict):
+    def __init__(
+        self, entry: Entry, context: RequestContext, version: Version, document: dict
+    ):
         self.version = version
         self.first_token_seconds: float | None = None
         self.started_at = entry.clock()
         self._entry = entry
-        self._work = work
+        self._context = context
         self._document = document
-        self._assembler = StreamAssembler(work.id)
+        self._assembler = StreamAssembler(context.id)
         self._target = VersionTarget(version.version_id)
 
     @property
@@ -106,7 +108,7 @@
                 yield from self._stream_attempt()
                 return
             except EndpointError as error:
-                if not allow_retry(self._entry, self._work, attempts):
+                if not allow_retry(self._entry, self._context, attempts):
                     raise
                 if error.run is not Run.NOT_RUN:
                     self._assembler.resume()
@@ -116,9 +118,9 @@
         try:
             yield from self._read(attempt)
         except EndpointError as error:
-            self._note(attempt, "failed")
-            settle_failure(
-                self._entry, self._work, attempt, error.code is Code.STREAM_BROKEN
+            self._record_attempt(attempt, "failed")
+            handle_failure(
+                self._entry, self._context, attempt, error.code is Code.STREAM_BROKEN
             )
             raise
         except GeneratorExit:
@@ -130,14 +132,14 @@
     def _open(self) -> OpenAttempt:
         try:
             return open_attempt(
-                self._entry, self._work, self._target, self._make_outgoing()
+                self._entry, self._context, self._target, self._make_outgoing()
             )
         except RefusedError as error:
-            raise self._name_refusal(error) from error
+            raise self._mark_partly_run(error) from error
 
-    def _name_refusal(self, error: RefusedError) -> BergamotwoodError:
+    def _mark_partly_run(self, error: RefusedError) -> BergamotwoodError:
         """Say that the request has run in part, where it has."""
-        if not self._work.attempts:
+        if not self._context.attempts:
             return error
         return RefusedError(error.detail, error.code, Run.MAY_HAVE_RUN)
 
@@ -150,15 +152,15 @@
             if event == DONE:
                 done = True
                 break
-            if self._entry.clock() >= self._work.deadline:
+            if self._entry.clock() >= self._context.deadline:
                 raise EndpointError(
                     "the deadline passed before the end", Code.DEADLINE_EXCEEDED
                 )
             for chunk in self._assembler.accept(_decode_chunk(event)):
-                self._note_first_token(attempt)
+                self._mark_first_token(attempt)
                 yield chunk
         self._assembler.finish(done)
-        self._note(attempt, "answered")
+        self._record_attempt(attempt, "answered")
         attempt.succeed()
 
     def _check_status(self, attempt: OpenAttempt) -> None:
@@ -169,22 +171,22 @@
         body = attempt.call.read_all(wait, MAX_ERROR_BYTES)
         run = Run.NOT_RUN if 400 <= status < 500 else Run.MAY_HAVE_RUN
         raise EndpointError(
-            f"{attempt.endpoint} answered {status}: {body.decode(errors='replace')}",
+            f"{attempt.endpoint_id} answered {status}: {body.decode(errors='replace')}",
             run=run,
         )
 
-    def _note_first_token(self, attempt: OpenAttempt) -> None:
-        attempt.note_first_token()
+    def _mark_first_token(self, attempt: OpenAttempt) -> None:
+        attempt.mark_first_token()
         if self.first_token_seconds is None:
             self.first_token_seconds = self._entry.clock() - self.started_at
 
-    def _note(self, attempt: OpenAttempt, outcome: str) -> None:
+    def _record_attempt(self, attempt: OpenAttempt, outcome: str) -> None:
         whole = outcome == "answered"
         usage = self.usage if whole else Usage(0, self._assembler.tokens)
-        self._work.attempts.append(
+        self._context.attempts.append(
             Attempt(
                 self.version.id,
-                attempt.endpoint,
+                attempt.endpoint_id,
                 usage.prompt_tokens,
                 usage.completion_tokens,
                 self.cost if whole else 0.0,
@@ -192,19 +194,19 @@
             )
         )
 
-    def _make_outgoing(self) -> Outgoing:
+    def _make_outgoing(self) -> OutgoingRequest:
         document = dict(self._document)
         document["model"] = self.version.id
         document["stream"] = True
-        document["priority"] = int(self._work.priority)
+        document["priority"] = int(self._context.priority)
         headers = (
             Header("Content-Type", "application/json"),
-            Header("X-Request-Id", self._work.id),
+            Header("X-Request-Id", self._context.id),
             Header("Bergamotwood-Version", self.version.id),
             Header("Bergamotwood-Resume-From", str(self._assembler.next_index)),
         )
         wait = self._entry.settings.timeouts.first_chunk
-        return Outgoing("POST", CHAT_PATH, headers, json.encode(document), wait)
+        return OutgoingRequest("POST", CHAT_PATH, headers, json.encode(document), wait)
 
 
 def _decode_chunk(event: bytes) -> Chunk:
--- a/packages/daemon/src/bergamotwood_daemon/attempts.py
+++ b/packages/daemon/src/bergamotwood_daemon/attempts.py
@@ -24,13 +24,13 @@
 from bergamotwood_core.target import Target
 from bergamotwood_daemon.crashes import (
     BrokenAttempt,
-    list_apart,
-    note_finished,
-    settle_break,
+    handle_broken_attempt,
+    list_avoided_endpoints,
+    record_completion,
     wait_for_clearance,
 )
 from bergamotwood_daemon.endpointcall import EndpointCall, Header
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 from bergamotwood_daemon.tracing import format_parent
 
 MAX_ATTEMPTS = 3
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class OutgoingRequest:
     """The HTTP request of an attempt.
 
     Parameters
@@ -67,76 +67,81 @@
     ----------
     call : EndpointCall
         Its connection.
-    endpoint : EndpointId
+    endpoint_id : EndpointId
         Where it runs.
     first_token_seconds : float or None
         From dispatch to the first token.
     """
 
     def __init__(
-        self, entry: Entry, work: Work, row: Endpoint, call: EndpointCall, span: Span
+        self,
+        entry: Entry,
+        context: RequestContext,
+        endpoint: Endpoint,
+        call: EndpointCall,
+        span: Span,
     ) -> None:
         self.call = call
         self._span = span
-        self.endpoint = row.id
-        self.incarnation = row.announcement.incarnation
+        self.endpoint_id = endpoint.id
+        self.incarnation = endpoint.announcement.incarnation
         self.started_at = entry.clock()
         self.first_token_seconds: float | None = None
         self._entry = entry
-        self._work = work
-        self._row = row
+        self._context = context
+        self._endpoint = endpoint
         self._isolated = False
         self._open = True
-        work.running.add(row.id)
-        record_start(row, self.started_at)
+        context.running.add(endpoint.id)
+        record_start(endpoint, self.started_at)
 
     def isolate(self) -> bool:
         """Keep other suspects off the endpoint while this one runs there."""
         self._isolated = self._entry.isolation.start(
-            self._work.fingerprint, self.endpoint
+            self._context.fingerprint, self.endpoint_id
         )
         return self._isolated
 
-    def note_first_token(self) -> None:
+    def mark_first_token(self) -> None:
         """Note the first token or the plain answer."""
         if self.first_token_seconds is not None:
             return
         now = self._entry.clock()
         self.first_token_seconds = now - self.started_at
-        record_first_token(self._row, self.first_token_seconds, now)
+        record_first_token(self._endpoint, self.first_token_seconds, now)
 
     def succeed(self) -> None:
         """Close after a whole answer, which clears a suspect."""
         if not self._close():
             return
-        record_success(self._row, self._entry.clock())
-        note_finished(self._entry, self._work)
+        record_success(self._endpoint, self._entry.clock())
+        record_completion(self._entry, self._context)
 
     def fail(self) -> None:
         """Close after a failure of the endpoint."""
         if self._close():
             answered = self.first_token_seconds is not None
-            record_failure(self._row, self._entry.clock(), answered)
+            record_failure(self._endpoint, self._entry.clock(), answered)
 
     def cancel(self) -> None:
         """Close because nobody wants the answer."""
         if self._close():
-            record_cancel(self._row, self.first_token_seconds is not None)
+            record_cancel(self._endpoint, self.first_token_seconds is not None)
 
     def _close(self) -> bool:
         was_open = self._open
         self._open = False
         self.call.close()
         if was_open:
-            self._work.running.discard(self.endpoint)
+            self._context.running.discard(self.endpoint_id)
             self._span.end()
         if self._isolated:
-            self._entry.isolation.stop(self._work.fingerprint, self.endpoint)
+            self._entry.isolation.stop(self._context.fingerprint, self.endpoint_id)
         return was_open
 
 
 def open_attempt(
-    entry: Entry, work: Work, target: Target, outgoing: Outgoing
+    entry: Entry, context: RequestContext, target: Target, outgoing: OutgoingRequest
 ) -> OpenAttempt:
     """Choose an endpoint, dial it, check once more, and send.
 
@@ -147,13 +152,15 @@
     EndpointError
         `run` tells whether the endpoint may have got it.
     """
-    wait_for_clearance(entry, work)
-    refused: EndpointError | RefusedError | None = None
+    wait_for_clearance(entry, context)
+    last_error: EndpointError | RefusedError | None = None
     for _ in range(MAX_DIALS):
-        row = _choose_row(entry, work, target, refused)
-        span = work.trace.open_span("attempt", target=target.name, endpoint=row.id)
+        endpoint = _choose_endpoint(entry, context, target, last_error)
+        span = context.trace.start_span(
+            "attempt", target=target.name, endpoint=endpoint.id
+        )
         call = EndpointCall(
-            row.announcement.address,
+            endpoint.announcement.address,
             outgoing.method,
             outgoing.path,
             (*outgoing.headers, Header("Traceparent", format_parent(span))),
@@ -162,26 +169,28 @@
         try:
             call.dial(entry.settings.timeouts.connect)
         except EndpointError as error:
-            work.excluded.add(row.id)
-            refused = error
-            _note_dial_failure(entry, row)
+            context.excluded.add(endpoint.id)
+            last_error = error
+            _record_dial_failure(entry, endpoint)
             span.end()
             continue
         try:
             return _dispatch(
-                entry, work, target, row, call, span, outgoing.wait_seconds
+                entry, context, target, endpoint, call, span, outgoing.wait_seconds
             )
         except RefusedError as error:
             span.end()
             call.close()
             if error.code is not Code.NO_ENDPOINT:
                 raise
-            work.excluded.add(row.id)
-            refused = error
-    raise _name_no_endpoint(target, refused)
+            context.excluded.add(endpoint.id)
+            last_error = error
+    raise _make_no_endpoint_error(target, last_error)
 
 
-def settle_failure(entry: Entry, work: Work, attempt: OpenAttempt, reset: bool) -> None:
+def handle_failure(
+    entry: Entry, context: RequestContext, attempt: OpenAttempt, reset: bool
+) -> None:
     """Learn from a failed attempt, and record a crash of its endpoint.
 
     Raises
@@ -190,72 +199,72 @@
         A crash could not be recorded, so the request must not be sent again.
     """
     attempt.fail()
-    work.excluded.add(attempt.endpoint)
+    context.excluded.add(attempt.endpoint_id)
     if not reset:
         return
     answered = attempt.first_token_seconds is not None
-    broken = BrokenAttempt(attempt.endpoint, attempt.incarnation, answered)
-    settle_break(entry, work, broken)
+    broken = BrokenAttempt(attempt.endpoint_id, attempt.incarnation, answered)
+    handle_broken_attempt(entry, context, broken)
 
 
-def allow_retry(entry: Entry, work: Work, attempts: int) -> bool:
+def allow_retry(entry: Entry, context: RequestContext, attempts: int) -> bool:
     """Whether a failed request may be sent once more."""
-    if not (work.idempotent and work.repeatable) or attempts >= MAX_ATTEMPTS:
+    if not (context.idempotent and context.retryable) or attempts >= MAX_ATTEMPTS:
         return False
-    if entry.clock() >= work.deadline:
+    if entry.clock() >= context.deadline:
         return False
-    return entry.retries.try_spend()
+    return entry.retry_budget.try_spend()
 
 
-def _choose_row(
+def _choose_endpoint(
     entry: Entry,
-    work: Work,
+    context: RequestContext,
     target: Target,
-    refused: EndpointError | RefusedError | None,
+    last_error: EndpointError | RefusedError | None,
 ) -> Endpoint:
-    excluded = frozenset(work.excluded | work.running)
-    excluded |= list_apart(entry, work, target)
-    need = PlacementRequirements(
+    excluded = frozenset(context.excluded | context.running)
+    excluded |= list_avoided_endpoints(entry, context, target)
+    requirements = PlacementRequirements(
         target=target,
         data_centre=DataCentre(entry.settings.data_centre),
         nearby=tuple(map(DataCentre, entry.settings.nearby)),
-        prefix_hash=work.prefix_hash,
-        prefix_tokens=work.prefix_tokens,
-        session=work.session,
+        prefix_hash=context.prefix_hash,
+        prefix_tokens=context.prefix_tokens,
+        session=context.session,
         excluded=excluded,
     )
     directory = entry.tables.directory
-    chosen = choose_endpoint(directory, need, entry.clock(), entry.rng)
+    chosen = choose_endpoint(directory, requirements, entry.clock(), entry.rng)
     if chosen is None:
-        raise _name_no_endpoint(target, refused)
+        raise _make_no_endpoint_error(target, last_error)
     return directory.endpoints[chosen]
 
 
 def _dispatch(
     entry: Entry,
-    work: Work,
+    context: RequestContext,
     target: Target,
-    row: Endpoint,
+    endpoint: Endpoint,
     call: EndpointCall,
     span: Span,
     wait_seconds: float,
 ) -> OpenAttempt:
     now = entry.clock()
-    if now >= work.deadline:
+    if now >= context.deadline:
         raise RefusedError("the deadline has passed", Code.DEADLINE_EXCEEDED)
     clearance = check_dispatch(
         entry.tables,
-        work.workspace.key,
+        context.workspace.key,
         target,
-        row.id,
-        entry.measure_age(),
+        endpoint.id,
+        entry.measure_config_age(),
         entry.settings.max_config_age_seconds,
-        work.fingerprint,
+        context.fingerprint,
     )
-    attempt = OpenAttempt(entry, work, row, call, span)
+    attempt = OpenAttempt(entry, context, endpoint, call, span)
     if isinstance(clearance, Isolated):
-        work.suspect = True
-    if work.suspect and not attempt.isolate():
+        context.is_suspect = True
+    if context.is_suspect and not attempt.isolate():
         attempt.cancel()
         raise RefusedError(
             "a request under suspicion is running already",
@@ -263,23 +272,23 @@
             retry_after=1.0,
         )
     try:
-        call.send(min(wait_seconds, work.deadline - now))
+        call.send(min(wait_seconds, context.deadline - now))
     except EndpointError as error:
-        settle_failure(entry, work, attempt, error.code is Code.STREAM_BROKEN)
+        handle_failure(entry, context, attempt, error.code is Code.STREAM_BROKEN)
         raise
     return attempt
 
 
-def _note_dial_failure(entry: Entry, row: Endpoint) -> None:
+def _record_dial_failure(entry: Entry, endpoint: Endpoint) -> None:
     now = entry.clock()
-    record_start(row, now)
-    record_failure(row, now)
+    record_start(endpoint, now)
+    record_failure(endpoint, now)
 
 
-def _name_no_endpoint(
-    target: Target, refused: EndpointError | RefusedError | None
+def _make_no_endpoint_error(
+    target: Target, last_error: EndpointError | RefusedError | None
 ) -> RefusedError:
-    reason = f": {refused.detail}" if refused is not None else ""
+    reason = f": {last_error.detail}" if last_error is not None else ""
     return RefusedError(
         f"no endpoint for {target.name}{reason}", Code.NO_ENDPOINT, retry_after=2.0
     )
--- a/packages/daemon/src/bergamotwood_daemon/authorization.py
+++ b/packages/daemon/src/bergamotwood_daemon/authorization.py
@@ -17,17 +17,17 @@
     AuthorizationError
         No workspace has this key.
     """
-    shown = _hash_key(request)
+    key_hash = _hash_key(request)
     found = None
     for workspace in tables.workspaces.values():
-        if _matches(shown, workspace.key_hashes):
+        if _matches(key_hash, workspace.key_hashes):
             found = workspace
     if found is None:
         raise AuthorizationError("authorization: no workspace has this key")
     return found
 
 
-def require_key(request: WebRequest, hashes: tuple[str, ...], who: str) -> None:
+def require_key(request: WebRequest, hashes: tuple[str, ...], holder: str) -> None:
     """Check the key of an operator or an endpoint.
 
     Raises
@@ -36,18 +36,20 @@
         The key is not among the hashes.
     """
     if not _matches(_hash_key(request), hashes):
-        raise AuthorizationError(f"authorization: not a key of {who}", Code.FORBIDDEN)
+        raise AuthorizationError(
+            f"authorization: not a key of {holder}", Code.FORBIDDEN
+        )
 
 
 def _hash_key(request: WebRequest) -> str:
-    key = request.read_bearer()
+    key = request.read_bearer_token()
     if not key:
         raise AuthorizationError("authorization: bearer key needed")
     return sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def _matches(shown: str, hashes: tuple[str, ...]) -> bool:
+def _matches(key_hash: str, hashes: tuple[str, ...]) -> bool:
     matched = False
     for known in hashes:
-        matched |= compare_digest(shown, known)
+        matched |= compare_digest(key_hash, known)
     return matched
--- a/packages/daemon/src/bergamotwood_daemon/billing.py
+++ b/packages/daemon/src/bergamotwood_daemon/billing.py
@@ -11,7 +11,7 @@
     encode_command,
 )
 from bergamotwood_core.states import BillOutcome, Run
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 from bergamotwood_daemon.tracing import Trace
 
 _REFUSALS = {
@@ -22,15 +22,15 @@
 }
 
 
-def make_bill(work: Work, key: IdempotencyKey | None, digest: str) -> Bill:
+def make_bill(context: RequestContext, key: IdempotencyKey | None, digest: str) -> Bill:
     """Make the bill of a request, which covers all of its attempts."""
     return Bill(
-        request=work.id,
-        workspace=work.workspace.key,
+        request=context.id,
+        workspace=context.workspace.key,
         key=key,
         digest=digest,
-        attempts=tuple(work.attempts),
-        cost=sum(attempt.cost for attempt in work.attempts),
+        attempts=tuple(context.attempts),
+        cost=sum(attempt.cost for attempt in context.attempts),
     )
 
 
@@ -43,12 +43,12 @@
         When the ledger did not confirm the bill, or rejected it.
     """
     command = encode_command(RecordBill(bill))
-    span = trace.open_span("bill", request=bill.request, cost=bill.cost)
+    span = trace.start_span("bill", request=bill.request, cost=bill.cost)
     try:
         reply = entry.ledger.propose(command, entry.settings.timeouts.ledger)
     except ReplicationError as error:
         # The bill may still be committed, but its request has failed: void it.
-        entry.claims.settle(VoidBill(bill))
+        entry.claims.submit_in_background(VoidBill(bill))
         raise IdempotencyError(
             "the ledger did not confirm the bill",
             Code.LEDGER_UNAVAILABLE,
--- a/packages/daemon/src/bergamotwood_daemon/steps.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -22,7 +22,7 @@
 from bergamotwood_daemon.chatcall import ChatCall, list_candidates
 from bergamotwood_daemon.completion import join_text
 from bergamotwood_daemon.entry import Entry
-from bergamotwood_daemon.ratings import RatingRequest, Ratings
+from bergamotwood_daemon.ratings import RatingClient, RatingRequest
 
 # Refusals that hold for every step of a request.
 FINAL_CODES = (Code.CONFIG_STALE, Code.QUARANTINED, Code.DEADLINE_EXCEEDED)
@@ -50,30 +50,30 @@
     score: float | None = None
 
 
-class Steps:
+class CascadeRunner:
     """Runs cascades at one entry.
 
     Parameters
     ----------
     entry : Entry
         Tables, policies and ways to the leaders.
-    ratings : Ratings
+    ratings : RatingClient
         The rating service.
     """
 
-    def __init__(self, entry: Entry, ratings: Ratings) -> None:
+    def __init__(self, entry: Entry, ratings: RatingClient) -> None:
         self._entry = entry
         self._ratings = ratings
 
     def plan(self, call: ChatCall) -> CascadePlan:
         """Choose the steps by the configuration in force now."""
         return self._entry.policy.plan(
-            call.work.workspace,
+            call.context.workspace,
             call.request_class,
             list_candidates(self._entry, call),
             call.prompt_tokens,
             self._entry.clock(),
-            call.work.deadline,
+            call.context.deadline,
         )
 
     def run(self, call: ChatCall, steps: tuple[Step, ...]) -> StepAnswer:
@@ -87,35 +87,37 @@
         EndpointError, RefusedError, AuthorizationError
             No step gave an answer.
         """
-        whole: StepAnswer | None = None
+        fallback: StepAnswer | None = None
         failure: BergamotwoodError | None = None
         for number, step in enumerate(steps):
             try:
-                found = self._run_step(call, step, number, len(steps))
+                step_answer = self._run_step(call, step, number, len(steps))
             except (EndpointError, RefusedError) as error:
                 failure = error
                 if error.code in FINAL_CODES:
                     break
                 continue
-            if found.score is None or found.score >= step.threshold:
-                return found
-            whole = found
-        if whole is not None:
-            return whole
+            if step_answer.score is None or step_answer.score >= step.threshold:
+                return step_answer
+            fallback = step_answer
+        if fallback is not None:
+            return fallback
         raise failure or RefusedError("no version may answer", Code.NO_ENDPOINT)
 
-    def open(self, call: ChatCall, version: VersionId, number: int = 0) -> StepAnswer:
+    def prepare_answer(
+        self, call: ChatCall, version: VersionId, number: int = 0
+    ) -> StepAnswer:
         """Prepare the answer of one version; nothing is sent yet."""
         entity = self._entry.tables.configuration.versions.get(version)
         if entity is None:
             raise RefusedError(f"version {version} is gone", Code.VERSION_WITHDRAWN)
-        answer = VersionAnswer(self._entry, call.work, entity, call.document)
+        answer = VersionAnswer(self._entry, call.context, entity, call.document)
         key = EstimateKey(
-            call.work.workspace.key, call.request_class, version, number > 0
+            call.context.workspace.key, call.request_class, version, number > 0
         )
         return StepAnswer(answer, answer.stream(), key)
 
-    def learn(self, call: ChatCall, returned: StepAnswer) -> None:
+    def record_answer(self, call: ChatCall, returned: StepAnswer) -> None:
         """Learn from an answer that the caller gets whole."""
         answer = returned.answer
         first = answer.first_token_seconds or 0.0
@@ -128,40 +130,46 @@
         version = answer.version.version_id
         policy = self._entry.policy
         policy.record_answer(call.request_class, version, usage)
-        policy.record_returned_answer(call.work.workspace, returned.key, returned.score)
+        policy.record_returned_answer(
+            call.context.workspace, returned.key, returned.score
+        )
         self._entry.outcomes.count_outcome(Outcome(version, False, first))
 
-    def note_failure(self, failed: StepAnswer, error: BergamotwoodError) -> None:
+    def count_failure(self, failed: StepAnswer, error: BergamotwoodError) -> None:
         """Count a failure of an endpoint against its version."""
         if isinstance(error, EndpointError):
             outcome = Outcome(failed.answer.version.version_id, failed=True)
             self._entry.outcomes.count_outcome(outcome)
 
-    def sample(self, call: ChatCall, returned: StepAnswer, text: str) -> None:
+    def sample_for_rating(
+        self, call: ChatCall, returned: StepAnswer, text: str
+    ) -> None:
         """Have some returned answers rated, without the caller waiting."""
-        if self._is_sampled(returned):
+        if self._should_sample(returned):
             spawn(self._rate_returned, call, returned, text)
 
     def _run_step(
         self, call: ChatCall, step: Step, number: int, count: int
     ) -> StepAnswer:
         """Run one step; an answer that is rated first comes whole."""
-        found = self.open(call, step.version, number)
+        step_answer = self.prepare_answer(call, step.version, number)
         try:
             if number == count - 1 or not step.rate:
                 # Waiting for the first chunk gives an early failure its status.
-                found.chunks = chain((next(found.chunks),), found.chunks)
-                return found
-            chunks = list(found.chunks)
+                step_answer.chunks = chain(
+                    (next(step_answer.chunks),), step_answer.chunks
+                )
+                return step_answer
+            chunks = list(step_answer.chunks)
         except (EndpointError, RefusedError) as error:
-            self.note_failure(found, error)
+            self.count_failure(step_answer, error)
             raise
-        found.chunks = iter(chunks)
+        step_answer.chunks = iter(chunks)
         # Without a rating the answer is not known to do, and the next step runs.
-        found.score = self._rate(call, found, join_text(chunks)) or 0.0
-        return found
+        step_answer.score = self._rate(call, step_answer, join_text(chunks)) or 0.0
+        return step_answer
 
-    def _is_sampled(self, returned: StepAnswer) -> bool:
+    def _should_sample(self, returned: StepAnswer) -> bool:
         """Whether to rate a returned answer; those of a roll-out come first."""
         policy = self._entry.policy
         now = self._entry.clock()
@@ -175,24 +183,26 @@
         if returned.score is None:
             self._rate(call, returned, text)
             return
-        second = self._ask(call, returned, text)
+        second = self._request_rating(call, returned, text)
         if second is not None:
             # The answer was selected by its first rating, so that the second one
             # tells about the selection and not about the version.
             self._entry.policy.record_repeated_rating(returned.score, second)
 
     def _rate(self, call: ChatCall, rated: StepAnswer, text: str) -> float | None:
-        score = self._ask(call, rated, text)
+        score = self._request_rating(call, rated, text)
         if score is None:
             return None
         self._entry.policy.record_rating(rated.key, score, self._entry.clock())
         self._entry.outcomes.count_score(rated.answer.version.version_id, score)
         return score
 
-    def _ask(self, call: ChatCall, rated: StepAnswer, text: str) -> float | None:
+    def _request_rating(
+        self, call: ChatCall, rated: StepAnswer, text: str
+    ) -> float | None:
         rating = RatingRequest(
-            call.work.id,
-            call.work.workspace.name,
+            call.context.id,
+            call.context.workspace.name,
             call.request_class,
             rated.answer.version.id,
             text,
--- a/packages/daemon/src/bergamotwood_daemon/chat.py
+++ b/packages/daemon/src/bergamotwood_daemon/chat.py
@@ -11,12 +11,13 @@
 from bergamotwood_core.ledger import StoredAnswer
 from bergamotwood_core.session import make_session
 from bergamotwood_core.stream import Chunk
-from bergamotwood_daemon.admittance import Admittance
+from bergamotwood_daemon.admissiongate import AdmissionGate
 from bergamotwood_daemon.answer import VersionAnswer
 from bergamotwood_daemon.authorization import find_workspace
 from bergamotwood_daemon.billing import commit_bill, make_bill
+from bergamotwood_daemon.cascaderunner import CascadeRunner, StepAnswer
 from bergamotwood_daemon.chatcall import ChatCall, read_chat_call
-from bergamotwood_daemon.claims import KeyedRequest, Ran
+from bergamotwood_daemon.claims import CompletedRun, KeyedRequest
 from bergamotwood_daemon.completion import (
     DONE_EVENT,
     EventEncoder,
@@ -26,8 +27,7 @@
 )
 from bergamotwood_daemon.entry import Entry
 from bergamotwood_daemon.log import log_event
-from bergamotwood_daemon.ratings import Ratings
-from bergamotwood_daemon.steps import StepAnswer, Steps
+from bergamotwood_daemon.ratings import RatingClient
 from bergamotwood_daemon.web import (
     EVENT_STREAM,
     JSON,
@@ -38,151 +38,159 @@
 )
 
 
-class Chat:
+class ChatHandler:
     """Chat requests at one entry.
 
     Parameters
     ----------
     entry : Entry
         Tables, policies and ways to the leaders.
-    admittance : Admittance
+    admission_gate : AdmissionGate
         Waiting for a slot.
-    ratings : Ratings
+    ratings : RatingClient
         The rating service.
     """
 
-    def __init__(self, entry: Entry, admittance: Admittance, ratings: Ratings) -> None:
+    def __init__(
+        self, entry: Entry, admission_gate: AdmissionGate, ratings: RatingClient
+    ) -> None:
         self._entry = entry
-        self._admittance = admittance
-        self._steps = Steps(entry, ratings)
+        self._admission_gate = admission_gate
+        self._cascade_runner = CascadeRunner(entry, ratings)
 
     def answer(self, request: WebRequest) -> Response:
         """Answer a chat request."""
         workspace = find_workspace(request, self._entry.tables.configuration)
         call = read_chat_call(self._entry, request, workspace)
-        plan = self._steps.plan(call)
-        if not call.work.idempotent and call.key is None:
+        plan = self._cascade_runner.plan(call)
+        if not call.context.idempotent and call.key is None:
             raise RequestError(
                 "idempotency-key: needed for a non-idempotent request",
                 Code.KEY_REQUIRED,
             )
         index = self._entry.watch.applied
-        self._admittance.enter(call.work, plan.steps[0].version)
+        self._admission_gate.acquire(call.context, plan.steps[0].version)
         try:
             if self._entry.watch.applied != index:
-                plan = self._steps.plan(call)
+                plan = self._cascade_runner.plan(call)
         except BaseException:
-            self._admittance.leave(call.work)
+            self._admission_gate.release(call.context)
             raise
-        if not call.work.idempotent:
+        if not call.context.idempotent:
             return self._answer_once(call, plan)
         return self._answer_idempotent(call, plan)
 
     def _answer_idempotent(self, call: ChatCall, plan: CascadePlan) -> Response:
         streaming = False
         try:
-            found = self._steps.run(call, plan.steps)
-            headers = self._make_headers(call, found.answer)
+            step_answer = self._cascade_runner.run(call, plan.steps)
+            headers = self._make_headers(call, step_answer.answer)
             if not call.stream:
-                body = self._collect(call, found)
+                body = self._collect(call, step_answer)
                 return Response(200, JSON, [body], headers)
-            events = self._stream(call, found)
-            body = ClosingBody(events, lambda: self._admittance.leave(call.work))
+            events = self._stream(call, step_answer)
+            body = ClosingBody(
+                events, lambda: self._admission_gate.release(call.context)
+            )
             streaming = True
             return Response(200, EVENT_STREAM, body, headers)
         finally:
             if not streaming:
-                self._admittance.leave(call.work)
+                self._admission_gate.release(call.context)
 
     def _stream(
-        self, call: ChatCall, found: StepAnswer
+        self, call: ChatCall, step_answer: StepAnswer
     ) -> Generator[bytes, None, None]:
         """Encode events; the end marker follows the committed bill."""
-        answer = found.answer
-        encoder = EventEncoder(call.work.id, answer.version.id)
+        answer = step_answer.answer
+        encoder = EventEncoder(call.context.id, answer.version.id)
         sent: list[Chunk] = []
         try:
-            for chunk in found.chunks:
+            for chunk in step_answer.chunks:
                 if sent:
                     yield encoder.encode(sent[-1])
                 sent.append(chunk)
-            receipt = self._bill(call, found)
+            receipt = self._commit_bill(call, step_answer)
             yield encoder.encode_last(sent[-1], answer.usage, receipt)
             yield DONE_EVENT
         except BergamotwoodError as error:
-            self._steps.note_failure(found, error)
-            log_event("chat", "Answer not whole.", request=call.work.id)
-            problem = encode_problem(error, call.work.id)
+            self._cascade_runner.count_failure(step_answer, error)
+            log_event("chat", "Answer not whole.", request=call.context.id)
+            problem = encode_problem(error, call.context.id)
             yield b'data: {"error":%b}\n\n' % problem
             return
-        self._steps.sample(call, found, join_text(sent))
+        self._cascade_runner.sample_for_rating(call, step_answer, join_text(sent))
 
-    def _collect(self, call: ChatCall, found: StepAnswer) -> bytes:
+    def _collect(self, call: ChatCall, step_answer: StepAnswer) -> bytes:
         try:
-            whole = list(found.chunks)
+            whole = list(step_answer.chunks)
         except BergamotwoodError as error:
-            self._steps.note_failure(found, error)
+            self._cascade_runner.count_failure(step_answer, error)
             raise
-        receipt = self._bill(call, found)
-        self._steps.sample(call, found, join_text(whole))
-        return encode_completion(call.work.id, whole, found.answer.usage, receipt)
+        receipt = self._commit_bill(call, step_answer)
+        self._cascade_runner.sample_for_rating(call, step_answer, join_text(whole))
+        return encode_completion(
+            call.context.id, whole, step_answer.answer.usage, receipt
+        )
 
     def _answer_once(self, call: ChatCall, plan: CascadePlan) -> Response:
         """Run a non-idempotent request on one version, at most once."""
         keyed = KeyedRequest(
-            call.work.workspace.key, call.key, call.digest, call.work.id
+            call.context.workspace.key, call.key, call.digest, call.context.id
         )
-        acting = False
+        dispatched = False
 
-        def act() -> Ran:
-            nonlocal acting
-            acting = True
+        def dispatch() -> CompletedRun:
+            nonlocal dispatched
+            dispatched = True
             try:
-                found = self._steps.open(call, plan.steps[-1].version)
-                chunks = list(found.chunks)
+                step_answer = self._cascade_runner.prepare_answer(
+                    call, plan.steps[-1].version
+                )
+                chunks = list(step_answer.chunks)
             finally:
-                self._admittance.leave(call.work)
-            usage = found.answer.usage
-            receipt = self._make_receipt(call, found.answer)
-            body = encode_completion(call.work.id, chunks, usage, receipt)
-            bill = make_bill(call.work, call.key, call.digest)
-            return Ran(StoredAnswer(200, JSON, body), bill)
+                self._admission_gate.release(call.context)
+            usage = step_answer.answer.usage
+            receipt = self._make_receipt(call, step_answer.answer)
+            body = encode_completion(call.context.id, chunks, usage, receipt)
+            bill = make_bill(call.context, call.key, call.digest)
+            return CompletedRun(StoredAnswer(200, JSON, body), bill)
 
         try:
             stored = self._entry.claims.run_once(
-                keyed, act, self._entry.settings.timeouts.request
+                keyed, dispatch, self._entry.settings.timeouts.request
             )
         finally:
             # A run may go on after its caller was answered; it leaves by itself.
-            if not acting:
-                self._admittance.leave(call.work)
+            if not dispatched:
+                self._admission_gate.release(call.context)
         return Response(stored.status, stored.content_type, [stored.body])
 
-    def _bill(self, call: ChatCall, found: StepAnswer) -> Receipt:
-        self._steps.learn(call, found)
-        bill = make_bill(call.work, call.key, call.digest)
-        commit_bill(self._entry, bill, call.work.trace)
-        return self._make_receipt(call, found.answer)
+    def _commit_bill(self, call: ChatCall, step_answer: StepAnswer) -> Receipt:
+        self._cascade_runner.record_answer(call, step_answer)
+        bill = make_bill(call.context, call.key, call.digest)
+        commit_bill(self._entry, bill, call.context.trace)
+        return self._make_receipt(call, step_answer.answer)
 
     def _make_receipt(self, call: ChatCall, answer: VersionAnswer) -> Receipt:
         return Receipt(
             version=answer.version.id,
-            cost=sum(attempt.cost for attempt in call.work.attempts),
-            session=self._find_session(call, answer),
+            cost=sum(attempt.cost for attempt in call.context.attempts),
+            session=self._ensure_session(call, answer),
         )
 
     def _make_headers(
         self, call: ChatCall, answer: VersionAnswer
     ) -> tuple[tuple[str, str], ...]:
         return (
-            ("Bergamotwood-Request", call.work.id),
+            ("Bergamotwood-Request", call.context.id),
             ("Bergamotwood-Version", answer.version.id),
-            ("Bergamotwood-Session", self._find_session(call, answer)),
+            ("Bergamotwood-Session", self._ensure_session(call, answer)),
         )
 
-    def _find_session(self, call: ChatCall, answer: VersionAnswer) -> str:
-        if call.work.session is None:
-            call.work.session = make_session(
+    def _ensure_session(self, call: ChatCall, answer: VersionAnswer) -> str:
+        if call.context.session is None:
+            call.context.session = make_session(
                 answer.version.version_id, self._entry.secret, self._entry.rng
             )
-        return call.work.session
+        return call.context.session
--- a/packages/daemon/src/bergamotwood_daemon/chatcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/chatcall.py
@@ -29,7 +29,7 @@
 from bergamotwood_core.session import read_session
 from bergamotwood_core.states import Priority, VersionState
 from bergamotwood_core.tables import ConfigurationTables
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 from bergamotwood_daemon.tracing import Trace
 from bergamotwood_daemon.web import WebRequest
 
@@ -47,13 +47,13 @@
 
     Parameters
     ----------
-    work : Work
+    context : RequestContext
         Its way through the entry.
     document : dict
         The caller's JSON, passed on to engines.
     models : tuple of ModelName
         Models of the named cascade, or the named model.
-    pinned : VersionId or None
+    pinned_version : VersionId or None
         Version of its session, or the one that it names.
     stream : bool
         Whether the caller wants events.
@@ -67,10 +67,10 @@
         Kind of request.
     """
 
-    work: Work
+    context: RequestContext
     document: dict[str, Any]
     models: tuple[ModelName, ...]
-    pinned: VersionId | None
+    pinned_version: VersionId | None
     stream: bool
     key: IdempotencyKey | None
     digest: str
@@ -88,20 +88,20 @@
     """
     document = request.read_json()
     prompt = _read_prompt(document)
-    models, named = _resolve_model(
+    models, named_version = _resolve_model(
         entry.tables.configuration, workspace, document.get("model")
     )
-    work = make_work(entry, request, workspace)
-    work.prefix_hash = xxh3_64_intdigest(prompt[:PREFIX_CHARACTERS].encode())
+    context = make_context(entry, request, workspace)
+    context.prefix_hash = xxh3_64_intdigest(prompt[:PREFIX_CHARACTERS].encode())
     prompt_tokens = len(prompt) // CHARACTERS_PER_TOKEN + 1
-    work.prefix_tokens = prompt_tokens
+    context.prefix_tokens = prompt_tokens
     return ChatCall(
-        work=work,
+        context=context,
         document=document,
         models=models,
-        pinned=_read_pinned(entry, work, models) or named,
+        pinned_version=_read_pinned_version(entry, context, models) or named_version,
         stream=bool(document.get("stream", False)),
-        key=read_key(request),
+        key=read_idempotency_key(request),
         digest=digest_request(request),
         prompt_tokens=prompt_tokens,
         request_class=classify_request(
@@ -110,11 +110,13 @@
     )
 
 
-def make_work(entry: Entry, request: WebRequest, workspace: Workspace) -> Work:
+def make_context(
+    entry: Entry, request: WebRequest, workspace: Workspace
+) -> RequestContext:
     """Make the record of a request that came in."""
     session = request.read_header("bergamotwood-session")
     id = entry.make_request_id()
-    return Work(
+    return RequestContext(
         id=id,
         workspace=workspace,
         fingerprint=fingerprint_request(
@@ -128,7 +130,7 @@
     )
 
 
-def read_key(request: WebRequest) -> IdempotencyKey | None:
+def read_idempotency_key(request: WebRequest) -> IdempotencyKey | None:
     """Read the caller's idempotency key."""
     key = request.read_header("idempotency-key")
     if key is None:
@@ -159,14 +161,16 @@
         There is none.
     """
     tables = entry.tables.configuration
-    if call.pinned is not None:
-        chosen = [call.pinned]
+    if call.pinned_version is not None:
+        chosen = [call.pinned_version]
     else:
-        chosen = [_choose_version(entry, call.work.workspace, m) for m in call.models]
-    allowed = [v for v in chosen if v in call.work.workspace.versions]
+        chosen = [
+            _choose_version(entry, call.context.workspace, m) for m in call.models
+        ]
+    allowed = [v for v in chosen if v in call.context.workspace.versions]
     if not allowed:
         raise AuthorizationError(
-            f"workspace {call.work.workspace.name} may use none of {chosen}",
+            f"workspace {call.context.workspace.name} may use none of {chosen}",
             Code.MODEL_NOT_ALLOWED,
         )
     serving = [v for v in allowed if _is_serving(tables, v)]
@@ -191,13 +195,16 @@
 
 
 def _make_candidate(entry: Entry, version: Version) -> Candidate:
-    rows = entry.tables.directory.endpoints.values()
-    seen = [
-        row.first_token_seconds
-        for row in rows
-        if version.id in row.announcement.versions and row.first_token_seconds > 0.0
+    endpoints = entry.tables.directory.endpoints.values()
+    measured = [
+        endpoint.first_token_seconds
+        for endpoint in endpoints
+        if version.id in endpoint.announcement.versions
+        and endpoint.first_token_seconds > 0.0
     ]
-    expected = sum(seen) / len(seen) if seen else DEFAULT_FIRST_TOKEN_SECONDS
+    expected = (
+        sum(measured) / len(measured) if measured else DEFAULT_FIRST_TOKEN_SECONDS
+    )
     return Candidate(
         version.version_id, version.input_price, version.output_price, expected
     )
@@ -238,12 +245,12 @@
     raise RequestError(f"model: {name!r:.80} is not known", Code.UNKNOWN_MODEL)
 
 
-def _read_pinned(
-    entry: Entry, work: Work, models: tuple[ModelName, ...]
+def _read_pinned_version(
+    entry: Entry, context: RequestContext, models: tuple[ModelName, ...]
 ) -> VersionId | None:
-    if work.session is None:
+    if context.session is None:
         return None
-    version = read_session(work.session, entry.secret)
+    version = read_session(context.session, entry.secret)
     if version.partition(":")[0] not in models:
         raise RequestError(
             f"session: it is on {version}, which the request does not name",
--- a/packages/daemon/src/bergamotwood_daemon/claims.py
+++ b/packages/daemon/src/bergamotwood_daemon/claims.py
@@ -49,7 +49,7 @@
 
 MIN_BACKOFF_SECONDS = 0.2
 MAX_BACKOFF_SECONDS = 5.0
-MAX_SETTLING = 4_096
+MAX_UNCONFIRMED_COMMANDS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class CompletedRun:
     """What one run gave: the answer to keep and the bill for it."""
 
     answer: StoredAnswer
@@ -87,13 +87,13 @@
         self._ledger = ledger
         self._timeout = timeout_seconds
         self._rng = rng
-        self.settling = 0
+        self.unconfirmed_commands = 0
         self.running = 0
 
     def run_once(
         self,
         request: KeyedRequest,
-        act: Callable[[], Ran],
+        dispatch: Callable[[], CompletedRun],
         wait_seconds: float,
     ) -> StoredAnswer:
         """Claim the key, run at most once, and return the answer.
@@ -102,7 +102,7 @@
         ----------
         request : KeyedRequest
             Whose key is claimed.
-        act : callable
+        dispatch : callable
             Dispatches the request; called at most once, after the claim.
         wait_seconds : float
             Time that the caller is kept; the run itself goes on.
@@ -116,15 +116,15 @@
         """
         match self._claim(request):
             case Granted():
-                return self._run(request, act, wait_seconds)
+                return self._run(request, dispatch, wait_seconds)
             case Done(StoredAnswer() as answer):
                 return answer
             case other:
-                raise _explain_claim(request, other)
+                raise _make_claim_error(request, other)
 
-    def check_room(self) -> None:
+    def check_backlog(self) -> None:
         """Refuse new work while too much of the old is not settled."""
-        if self.settling >= MAX_SETTLING:
+        if self.unconfirmed_commands >= MAX_UNCONFIRMED_COMMANDS:
             raise RefusedError(
                 "too many claims and bills are not settled yet",
                 Code.LEDGER_UNAVAILABLE,
@@ -133,7 +133,7 @@
 
     def abandon(self, instance: InstanceId, before: Incarnation) -> None:
         """Mark what an earlier start of this instance had claimed as unknown."""
-        self.settle(Abandon(instance, Incarnation(before - 1)))
+        self.submit_in_background(Abandon(instance, Incarnation(before - 1)))
 
     def _claim(self, request: KeyedRequest) -> ClaimAnswer:
         claim = Claim(
@@ -143,7 +143,7 @@
             reply = self._ledger.propose(encode_command(claim), self._timeout)
         except ReplicationError as error:
             # The claim may still commit, and would then block a resend.
-            self.settle(self._make_release(request))
+            self.submit_in_background(self._make_release(request))
             raise RefusedError(
                 "the ledger did not confirm the claim",
                 Code.LEDGER_UNAVAILABLE,
@@ -152,10 +152,13 @@
         return decode_answer(reply)
 
     def _run(
-        self, request: KeyedRequest, act: Callable[[], Ran], wait_seconds: float
+        self,
+        request: KeyedRequest,
+        dispatch: Callable[[], CompletedRun],
+        wait_seconds: float,
     ) -> StoredAnswer:
         outcome: AsyncResult[StoredAnswer] = AsyncResult()
-        spawn(self._run_to_end, request, act, outcome)
+        spawn(self._run_and_record, request, dispatch, outcome)
         try:
             return outcome.get(timeout=wait_seconds)
         except Timeout as error:
@@ -166,27 +169,30 @@
                 retry_after=wait_seconds,
             ) from error
 
-    def _run_to_end(
-        self, request: KeyedRequest, act: Callable[[], Ran], outcome: AsyncResult
+    def _run_and_record(
+        self,
+        request: KeyedRequest,
+        dispatch: Callable[[], CompletedRun],
+        outcome: AsyncResult,
     ) -> None:
         self.running += 1
         try:
-            ran = act()
+            completed_run = dispatch()
         except BergamotwoodError as error:
-            self._give_up(request, error)
-            outcome.set_exception(_name_outcome(error))
+            self._record_failed_run(request, error)
+            outcome.set_exception(_convert_error(error))
             return
         except Exception as error:
-            self.settle(self._make_finish(request, None))
+            self.submit_in_background(self._make_finish(request, None))
             outcome.set_exception(error)
             return
         finally:
             self.running -= 1
-        finish = self._make_finish(request, ran)
+        finish = self._make_finish(request, completed_run)
         try:
             self._ledger.propose(encode_command(finish), self._timeout)
         except ReplicationError:
-            self.settle(finish)
+            self.submit_in_background(finish)
             outcome.set_exception(
                 IdempotencyError(
                     "the request ran but its bill is not confirmed yet",
@@ -196,27 +202,29 @@
                 )
             )
             return
-        outcome.set(ran.answer)
+        outcome.set(completed_run.answer)
 
-    def _give_up(self, request: KeyedRequest, error: BergamotwoodError) -> None:
+    def _record_failed_run(
+        self, request: KeyedRequest, error: BergamotwoodError
+    ) -> None:
         if error.run is Run.NOT_RUN:
-            self.settle(self._make_release(request))
+            self.submit_in_background(self._make_release(request))
             return
-        self.settle(self._make_finish(request, None))
+        self.submit_in_background(self._make_finish(request, None))
 
-    def settle(self, command: LedgerCommand) -> None:
+    def submit_in_background(self, command: LedgerCommand) -> None:
         """Submit a command until the ledger confirms it."""
-        spawn(self._settle_forever, encode_command(command))
+        spawn(self._submit_until_confirmed, encode_command(command))
 
-    def _settle_forever(self, command: bytes) -> None:
-        self.settling += 1
+    def _submit_until_confirmed(self, command: bytes) -> None:
+        self.unconfirmed_commands += 1
         backoff = MIN_BACKOFF_SECONDS
         try:
             while not self._try_propose(command):
                 sleep(backoff * self._rng.uniform(0.5, 1.0))
                 backoff = min(2.0 * backoff, MAX_BACKOFF_SECONDS)
         finally:
-            self.settling -= 1
+            self.unconfirmed_commands -= 1
 
     def _try_propose(self, command: bytes) -> bool:
         try:
@@ -228,13 +236,15 @@
     def _make_release(self, request: KeyedRequest) -> Release:
         return Release(request.workspace, request.key, request.id)
 
-    def _make_finish(self, request: KeyedRequest, ran: Ran | None) -> Finish:
-        answer = ran.answer if ran is not None else None
-        bill = ran.bill if ran is not None else None
+    def _make_finish(
+        self, request: KeyedRequest, completed_run: CompletedRun | None
+    ) -> Finish:
+        answer = completed_run.answer if completed_run is not None else None
+        bill = completed_run.bill if completed_run is not None else None
         return Finish(request.workspace, request.key, request.id, answer, bill)
 
 
-def _explain_claim(request: KeyedRequest, answer: ClaimAnswer) -> IdempotencyError:
+def _make_claim_error(request: KeyedRequest, answer: ClaimAnswer) -> IdempotencyError:
     key = request.key
     match answer:
         case Held():
@@ -272,7 +282,7 @@
             )
 
 
-def _name_outcome(error: BergamotwoodError) -> BergamotwoodError:
+def _convert_error(error: BergamotwoodError) -> BergamotwoodError:
     """Give a failed run the code of an unknown outcome, unless it never ran."""
     if error.run is not Run.MAY_HAVE_RUN or not isinstance(error, EndpointError):
         return error
--- a/packages/daemon/src/bergamotwood_daemon/crashes.py
+++ b/packages/daemon/src/bergamotwood_daemon/crashes.py
@@ -33,12 +33,12 @@
 from bergamotwood_core.states import Run
 from bergamotwood_core.target import Target
 from bergamotwood_daemon.endpointcall import EndpointCall
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 from bergamotwood_daemon.log import log_event
 
-PROBE_SECONDS = 0.3
-CRASH_WATCH_SECONDS = 1.5
-RECORD_CRASH_SECONDS = 2.0
+PROBE_TIMEOUT_SECONDS = 0.3
+CRASH_RECHECK_DELAY_SECONDS = 1.5
+RECORD_CRASH_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     answered: bool
 
 
-def wait_for_clearance(entry: Entry, work: Work) -> None:
+def wait_for_clearance(entry: Entry, context: RequestContext) -> None:
     """Keep a suspect waiting until it may run; other requests pass at once.
 
     Raises
@@ -68,19 +68,23 @@
     """
     while True:
         suspects = entry.tables.configuration.suspects
-        clearance = check_fingerprint(suspects, work.fingerprint)
+        clearance = check_fingerprint(suspects, context.fingerprint)
         now = entry.clock()
-        if (isinstance(clearance, Isolated) or work.suspect) and not work.suspect_at:
-            work.suspect = True
-            work.suspect_at = now
-        waited = now - (work.suspect_at or now)
-        match plan_dispatch(clearance, work.suspect, work.crash_granted, waited):
+        if (
+            isinstance(clearance, Isolated) or context.is_suspect
+        ) and not context.suspected_at:
+            context.is_suspect = True
+            context.suspected_at = now
+        waited = now - (context.suspected_at or now)
+        match plan_dispatch(
+            clearance, context.is_suspect, context.reported_crash_first, waited
+        ):
             case RunNow():
                 return
             case RefuseRequest():
                 raise RefusedError("request is quarantined", Code.QUARANTINED)
             case WaitFor(seconds):
-                if now + seconds >= work.deadline:
+                if now + seconds >= context.deadline:
                     raise RefusedError(
                         "a request under suspicion waits for another's retry",
                         Code.DEADLINE_EXCEEDED,
@@ -89,27 +93,31 @@
                 sleep(seconds)
 
 
-def list_apart(entry: Entry, work: Work, target: Target) -> frozenset[EndpointId]:
+def list_avoided_endpoints(
+    entry: Entry, context: RequestContext, target: Target
+) -> frozenset[EndpointId]:
     """List the endpoints that a suspect must not use, so that suspects run apart."""
-    if not work.suspect:
+    if not context.is_suspect:
         return frozenset()
     suspects = entry.tables.configuration.suspects
-    suspect = suspects.get(work.fingerprint)
+    suspect = suspects.get(context.fingerprint)
     avoided = {suspect.last_endpoint} if suspect is not None else set()
-    rows = entry.tables.directory.endpoints.values()
+    endpoints = entry.tables.directory.endpoints.values()
     pool = {
-        row.id
-        for row in rows
-        if row.serving and target.name in row.announcement.versions
+        endpoint.id
+        for endpoint in endpoints
+        if endpoint.serving and target.name in endpoint.announcement.versions
     }
-    fit = sorted(pool - avoided - work.excluded)
-    assigned = assign_endpoints(suspects, fit).get(work.fingerprint)
+    candidates = sorted(pool - avoided - context.excluded)
+    assigned = assign_endpoints(suspects, candidates).get(context.fingerprint)
     if assigned is not None:
         return frozenset(pool - {assigned})
     return frozenset(avoided) | entry.isolation.endpoints
 
 
-def settle_break(entry: Entry, work: Work, broken: BrokenAttempt) -> None:
+def handle_broken_attempt(
+    entry: Entry, context: RequestContext, broken: BrokenAttempt
+) -> None:
     """Find out whether an endpoint crashed, and record it.
 
     Raises
@@ -121,31 +129,33 @@
         running=True, pooled=False, answered=broken.answered, reset=True
     )
     if is_crash(failure, _has_restarted(entry, broken), not _probe(entry, broken)):
-        _record_crash(entry, work, broken)
+        _record_crash(entry, context, broken)
         return
-    spawn(_watch_for_crash, entry, work, broken, failure)
+    spawn(_recheck_for_crash, entry, context, broken, failure)
 
 
-def note_finished(entry: Entry, work: Work) -> None:
+def record_completion(entry: Entry, context: RequestContext) -> None:
     """Remember that a request ran to its end, which clears a suspect."""
-    entry.finished.add(work.fingerprint)
-    if work.suspect:
-        spawn(_clear_suspect, entry, work)
+    entry.finished_requests.add(context.fingerprint)
+    if context.is_suspect:
+        spawn(_clear_suspect, entry, context)
 
 
 def _has_restarted(entry: Entry, broken: BrokenAttempt) -> bool:
-    row = entry.tables.directory.endpoints.get(broken.endpoint)
-    return row is not None and row.announcement.incarnation != broken.incarnation
+    endpoint = entry.tables.directory.endpoints.get(broken.endpoint)
+    return (
+        endpoint is not None and endpoint.announcement.incarnation != broken.incarnation
+    )
 
 
 def _probe(entry: Entry, broken: BrokenAttempt) -> bool:
     """Whether a new connection to the endpoint can be made."""
-    row = entry.tables.directory.endpoints.get(broken.endpoint)
-    if row is None:
+    endpoint = entry.tables.directory.endpoints.get(broken.endpoint)
+    if endpoint is None:
         return False
-    call = EndpointCall(row.announcement.address, "GET", "/", (), b"")
+    call = EndpointCall(endpoint.announcement.address, "GET", "/", (), b"")
     try:
-        call.dial(PROBE_SECONDS)
+        call.dial(PROBE_TIMEOUT_SECONDS)
     except EndpointError:
         return False
     finally:
@@ -153,47 +163,52 @@
     return True
 
 
-def _watch_for_crash(
-    entry: Entry, work: Work, broken: BrokenAttempt, failure: AttemptFailure
+def _recheck_for_crash(
+    entry: Entry,
+    context: RequestContext,
+    broken: BrokenAttempt,
+    failure: AttemptFailure,
 ) -> None:
     """See later whether the endpoint had in fact crashed and come back."""
-    sleep(CRASH_WATCH_SECONDS)
+    sleep(CRASH_RECHECK_DELAY_SECONDS)
     if not is_crash(failure, _has_restarted(entry, broken), False):
         return
     try:
-        _record_crash(entry, work, broken)
+        _record_crash(entry, context, broken)
     except EndpointError as error:
         log_event("quarantine", "Crash not recorded.", detail=error.detail)
 
 
-def _record_crash(entry: Entry, work: Work, broken: BrokenAttempt) -> None:
-    if work.fingerprint in entry.finished:
+def _record_crash(entry: Entry, context: RequestContext, broken: BrokenAttempt) -> None:
+    if context.fingerprint in entry.finished_requests:
         # It ran to its end before, so that the crash is another's.
         return
-    work.suspect = True
-    work.suspect_at = Seconds(entry.clock())
+    context.is_suspect = True
+    context.suspected_at = Seconds(entry.clock())
     log_event(
         "quarantine",
         "Endpoint crashed under a request.",
         endpoint=broken.endpoint,
-        fingerprint=work.fingerprint,
-        request=work.id,
+        fingerprint=context.fingerprint,
+        request=context.id,
     )
-    command = RecordCrash(work.fingerprint, broken.endpoint, broken.incarnation)
+    command = RecordCrash(context.fingerprint, broken.endpoint, broken.incarnation)
     try:
-        reply = entry.control.propose(encode_command(command), RECORD_CRASH_SECONDS)
+        reply = entry.control.propose(
+            encode_command(command), RECORD_CRASH_TIMEOUT_SECONDS
+        )
     except ReplicationError as error:
-        work.repeatable = False
+        context.retryable = False
         raise EndpointError(
             f"endpoint {broken.endpoint} crashed", run=Run.MAY_HAVE_RUN
         ) from error
     answer = decode_answer(reply)
-    work.crash_granted = isinstance(answer, CommandAnswer) and answer.applied
+    context.reported_crash_first = isinstance(answer, CommandAnswer) and answer.applied
 
 
-def _clear_suspect(entry: Entry, work: Work) -> None:
-    command = encode_command(ClearSuspect(work.fingerprint))
+def _clear_suspect(entry: Entry, context: RequestContext) -> None:
+    command = encode_command(ClearSuspect(context.fingerprint))
     try:
-        entry.control.propose(command, RECORD_CRASH_SECONDS)
+        entry.control.propose(command, RECORD_CRASH_TIMEOUT_SECONDS)
     except ReplicationError as error:
         log_event("quarantine", "Suspect not cleared.", detail=error.detail)
--- a/packages/daemon/src/bergamotwood_daemon/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/daemon.py
@@ -16,9 +16,9 @@
 from bergamotwood_core.orders import LoadRateLimit
 from bergamotwood_core.outcome import OutcomeCounter
 from bergamotwood_core.tables import Tables
-from bergamotwood_daemon.admittance import Admittance
+from bergamotwood_daemon.admissiongate import AdmissionGate
 from bergamotwood_daemon.authorization import require_key
-from bergamotwood_daemon.chat import Chat
+from bergamotwood_daemon.chat import ChatHandler
 from bergamotwood_daemon.claims import Claims
 from bergamotwood_daemon.clock import read_clock
 from bergamotwood_daemon.connection import CallerConnectionHandler
@@ -45,12 +45,12 @@
     ReplicationSender,
 )
 from bergamotwood_daemon.proposer import Proposer
-from bergamotwood_daemon.ratings import Ratings
+from bergamotwood_daemon.ratings import RatingClient
 from bergamotwood_daemon.routes import Application, Route, make_route
-from bergamotwood_daemon.services import Services
+from bergamotwood_daemon.services import ServiceHandler
 from bergamotwood_daemon.settings import Settings
 from bergamotwood_daemon.ticker import Ticker
-from bergamotwood_daemon.tracing import make_tracer
+from bergamotwood_daemon.tracing import make_tracer_provider
 from bergamotwood_daemon.watch import Watch
 from bergamotwood_daemon.web import Response, WebRequest, answer_json
 
@@ -78,13 +78,13 @@
             PeerEncryption(settings.peer_tls) if settings.peer_tls else None
         )
         self._tls = ServerEncryption(settings.tls) if settings.tls else None
-        self._tracing = make_tracer(settings.instance, settings.trace_file)
+        self._tracing = make_tracer_provider(settings.instance, settings.trace_file)
         self.control_replica = (
             self._make_control_replica() if settings.is_control else None
         )
         self.entry = self._make_entry()
         self.metrics = Metrics(self.entry, self.control_replica)
-        self.admittance = Admittance(self.entry)
+        self.admission_gate = AdmissionGate(self.entry)
         self._peer_server = PeerServer(
             self.control_replica or _NoControlRole(),
             settings.instance_key,
@@ -96,7 +96,7 @@
         self._server = self._make_server()
         self._ticker = Ticker(
             self.entry,
-            self.admittance,
+            self.admission_gate,
             self.control_replica,
             self._make_order_dispatcher(),
             self._tls,
@@ -152,7 +152,9 @@
     def _has_unfinished_work(self) -> bool:
         """Return whether a request runs, or its outcome is not committed yet."""
         claims = self.entry.claims
-        return bool(self._application.active or claims.running or claims.settling)
+        return bool(
+            self._application.active or claims.running or claims.unconfirmed_commands
+        )
 
     def _make_channels(self) -> dict[InstanceId, PeerChannel]:
         """Make a separate set of channels to the replicas, this instance's first."""
@@ -309,8 +311,10 @@
         )
         if not self.settings.is_entry:
             return routes
-        chat = Chat(entry, self.admittance, Ratings(self.settings.rating_address))
-        services = Services(entry, self.admittance)
+        chat = ChatHandler(
+            entry, self.admission_gate, RatingClient(self.settings.rating_address)
+        )
+        services = ServiceHandler(entry, self.admission_gate)
         return (
             make_route("POST", "/v1/chat/completions", chat.answer),
             make_route("*", r"/v1/services/([^/]+)/(.*)", services.answer),
@@ -344,7 +348,7 @@
         require_key(request, self.settings.endpoint_key_hashes, "an endpoint")
 
     def _answer_readiness(self, request: WebRequest) -> Response:
-        age = self.entry.measure_age()
+        age = self.entry.measure_config_age()
         ready = age <= self.settings.max_config_age_seconds and not self.entry.draining
         return answer_json({"ready": ready}, 200 if ready else 503)
 
--- a/packages/daemon/src/bergamotwood_daemon/endpointcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/endpointcall.py
@@ -11,7 +11,7 @@
 from bergamotwood_core.messages import Address
 from bergamotwood_core.states import Run
 
-BLOCK_BYTES = 65_536
+RECEIVE_BYTES = 65_536
 EVENT_END = b"\n\n"
 EVENT_PREFIX = b"data:"
 MAX_EVENT_BYTES = 1_000_000
@@ -35,7 +35,7 @@
     def _on_body(self, buf: bytearray) -> None:
         self._pieces += buf
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """Return the body bytes that arrived since the last call."""
         taken = bytes(self._pieces)
         self._pieces.clear()
@@ -122,7 +122,7 @@
         """
         self._socket.settimeout(timeout_seconds)
         while True:
-            piece = self._response.take()
+            piece = self._response.take_body()
             if piece or self._response.message_complete:
                 return piece
             self._receive()
@@ -172,19 +172,19 @@
         try:
             # Waiting first spares the call that would find nothing to read.
             wait_read(self._socket.fileno(), self._socket.gettimeout())
-            data = self._socket.recv(BLOCK_BYTES)
+            data = self._socket.recv(RECEIVE_BYTES)
         except timeout as error:
             raise EndpointError(
                 f"{self._address} stayed silent", Code.STREAM_SILENT
             ) from error
         except OSError as error:
-            raise self._broken(str(error)) from error
+            raise self._make_broken_error(str(error)) from error
         if not data and not self._ends_with_connection():
-            raise self._broken("closed early")
+            raise self._make_broken_error("closed early")
         try:
             self._response.feed(data)
         except HTTPParseError as error:
-            raise self._broken(f"not HTTP: {error}") from error
+            raise self._make_broken_error(f"not HTTP: {error}") from error
 
     def _ends_with_connection(self) -> bool:
         return (
@@ -193,7 +193,7 @@
             and "transfer-encoding" not in self._response
         )
 
-    def _broken(self, reason: str) -> EndpointError:
+    def _make_broken_error(self, reason: str) -> EndpointError:
         return EndpointError(f"{self._address}: {reason}", Code.STREAM_BROKEN)
 
 
--- a/packages/daemon/src/bergamotwood_daemon/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/entry.py
@@ -78,14 +78,14 @@
     outcomes: OutcomeCounter
     tracer: Tracer
     incarnation: int
-    retries: RetryBudget = field(default_factory=RetryBudget)
+    retry_budget: RetryBudget = field(default_factory=RetryBudget)
     isolation: Isolation = field(default_factory=Isolation)
-    finished: FinishedRequests = field(default_factory=FinishedRequests)
+    finished_requests: FinishedRequests = field(default_factory=FinishedRequests)
     draining: bool = False
     sequence: int = 0
 
     def __post_init__(self) -> None:
-        self.hedges = HedgeBudget(self.retries)
+        self.hedge_budget = HedgeBudget(self.retry_budget)
 
     @property
     def secret(self) -> bytes:
@@ -101,13 +101,13 @@
             Sequence(self.sequence),
         )
 
-    def measure_age(self) -> Seconds:
+    def measure_config_age(self) -> Seconds:
         """Age of the configuration in force, in seconds."""
         return Seconds(self.watch.measure_age(self.clock()))
 
 
 @dataclass
-class Work:
+class RequestContext:
     """A caller's request on its way through an entry.
 
     Parameters
@@ -136,13 +136,13 @@
         Endpoints that failed it.
     running : set of EndpointId
         Endpoints that run it now, which a hedge avoids.
-    repeatable : bool
+    retryable : bool
         False once a crash under it could not be recorded.
-    suspect : bool
+    is_suspect : bool
         Whether an endpoint crashed under it, here or elsewhere.
-    suspect_at : Seconds or None
+    suspected_at : Seconds or None
         Since when this entry knows.
-    crash_granted : bool
+    reported_crash_first : bool
         Whether this entry recorded the newest crash, so that it retries first.
     prefix_tokens : int or None
         Estimated size of the prompt.
@@ -160,8 +160,8 @@
     attempts: list[Attempt] = field(default_factory=list)
     excluded: set[EndpointId] = field(default_factory=set)
     running: set[EndpointId] = field(default_factory=set)
-    repeatable: bool = True
-    suspect: bool = False
-    suspect_at: Seconds | None = None
-    crash_granted: bool = False
+    retryable: bool = True
+    is_suspect: bool = False
+    suspected_at: Seconds | None = None
+    reported_crash_first: bool = False
     prefix_tokens: int | None = None
--- a/packages/daemon/src/bergamotwood_daemon/hedging.py
+++ b/packages/daemon/src/bergamotwood_daemon/hedging.py
@@ -41,20 +41,20 @@
     delay = budget.delay_seconds
     first = spawn(attempt)
     if delay is not None and not wait([first], timeout=delay) and budget.try_spend():
-        answer = _take_first([first, spawn(attempt)])
+        answer = _wait_for_first_answer([first, spawn(attempt)])
     else:
-        answer = _take_first([first])
+        answer = _wait_for_first_answer([first])
     budget.record_latency(clock() - started_at)
     return answer
 
 
-def _take_first(running: list[Greenlet]) -> Answer:
+def _wait_for_first_answer(running: list[Greenlet]) -> Answer:
     """Return the first answer and cancel whoever has not ended."""
-    left = list(running)
+    pending = list(running)
     try:
-        while left:
-            for greenlet in wait(left, count=1):
-                left.remove(greenlet)
+        while pending:
+            for greenlet in wait(pending, count=1):
+                pending.remove(greenlet)
                 if greenlet.successful():
                     return greenlet.value
         return running[0].get()
--- a/packages/daemon/src/bergamotwood_daemon/metrics.py
+++ b/packages/daemon/src/bergamotwood_daemon/metrics.py
@@ -53,7 +53,7 @@
         self._add_gauge(
             "config_age_seconds",
             "Age of the configuration in force",
-            lambda: min(entry.measure_age(), UNKNOWN_AGE_SECONDS),
+            lambda: min(entry.measure_config_age(), UNKNOWN_AGE_SECONDS),
         )
         self._add_gauge(
             "config_index", "Log index in force", lambda: entry.watch.applied
@@ -70,9 +70,13 @@
             "in_flight", "Requests in flight", lambda: len(tables.in_flight)
         )
         self._add_gauge("queued", "Requests waiting", lambda: entry.admission.queued)
-        self._add_gauge("settling", "Claims settling", lambda: entry.claims.settling)
+        self._add_gauge(
+            "settling", "Claims settling", lambda: entry.claims.unconfirmed_commands
+        )
         self._add_gauge("requests", "Requests since start", lambda: entry.sequence)
-        self._add_gauge("retry_tokens", "Retries allowed", lambda: entry.retries.tokens)
+        self._add_gauge(
+            "retry_tokens", "Retries allowed", lambda: entry.retry_budget.tokens
+        )
         self._add_gauge(
             "endpoints", "Endpoints known", lambda: len(tables.directory.endpoints)
         )
--- a/packages/daemon/src/bergamotwood_daemon/operations.py
+++ b/packages/daemon/src/bergamotwood_daemon/operations.py
@@ -31,10 +31,10 @@
     ListTotals,
 )
 
-COMMIT_SECONDS = 8.0
-QUERY_SECONDS = 4.0
-MAX_LISTED = 1_000
-DEFAULT_LISTED = 100
+COMMIT_TIMEOUT_SECONDS = 8.0
+QUERY_TIMEOUT_SECONDS = 4.0
+MAX_LIST_LENGTH = 1_000
+DEFAULT_LIST_LENGTH = 100
 
 
 class EntryView(Struct):
@@ -112,9 +112,9 @@
         ticket = parse_ticket(request.read_body())
         operator = request.read_header("bergamotwood-operator") or "operator"
         command = ApplyTicket(ticket.model_dump_json().encode(), operator[:64])
-        reply = self.control.propose(encode_command(command), COMMIT_SECONDS)
+        reply = self.control.propose(encode_command(command), COMMIT_TIMEOUT_SECONDS)
         answer = decode_answer(reply)
-        _raise_refusal(answer)
+        _raise_if_refused(answer)
         created = answer.outcome is TicketOutcome.ACCEPTED
         return answer_json(answer, 201 if created else 200)
 
@@ -129,18 +129,20 @@
         """Say what became of a ticket."""
         if not number.isdecimal():
             raise RequestError(f"ticket: not a number: {number!r:.40}")
-        reply = self.control.query(FindTicket(int(number)), QUERY_SECONDS)
+        reply = self.control.query(FindTicket(int(number)), QUERY_TIMEOUT_SECONDS)
         if reply == b"null":
             raise TicketError(
                 f"ticket {number}: not accepted, or no longer kept",
                 Code.TICKET_UNKNOWN,
             )
-        return _pass_on(reply)
+        return _forward_json(reply)
 
     def list_tickets(self, request: WebRequest) -> Response:
         """List the newest tickets."""
-        limit = request.read_number("limit", DEFAULT_LISTED, MAX_LISTED)
-        return _pass_on(self.control.query(ListTickets(limit), QUERY_SECONDS))
+        limit = request.read_number("limit", DEFAULT_LIST_LENGTH, MAX_LIST_LENGTH)
+        return _forward_json(
+            self.control.query(ListTickets(limit), QUERY_TIMEOUT_SECONDS)
+        )
 
     def show_configuration(self, request: WebRequest) -> Response:
         """Give the configuration in force at this entry."""
@@ -195,28 +197,30 @@
     def list_bills(self, request: WebRequest) -> Response:
         """List the newest bills."""
         workspace = request.read_parameter("workspace")
-        limit = request.read_number("limit", DEFAULT_LISTED, MAX_LISTED)
-        chosen = WorkspaceId(workspace) if workspace else None
-        return _pass_on(self.ledger.query(ListBills(chosen, limit), QUERY_SECONDS))
+        limit = request.read_number("limit", DEFAULT_LIST_LENGTH, MAX_LIST_LENGTH)
+        workspace_id = WorkspaceId(workspace) if workspace else None
+        return _forward_json(
+            self.ledger.query(ListBills(workspace_id, limit), QUERY_TIMEOUT_SECONDS)
+        )
 
     def show_bill(self, request: WebRequest, id: str) -> Response:
         """Give the bill of a request."""
-        reply = self.ledger.query(FindBill(id), QUERY_SECONDS)
+        reply = self.ledger.query(FindBill(id), QUERY_TIMEOUT_SECONDS)
         if reply == b"null":
             raise RequestError(f"bill of {id}: not found", Code.UNKNOWN_PATH)
-        return _pass_on(reply)
+        return _forward_json(reply)
 
     def list_totals(self, request: WebRequest) -> Response:
         """Give the billed total of each workspace."""
-        return _pass_on(self.ledger.query(ListTotals(), QUERY_SECONDS))
+        return _forward_json(self.ledger.query(ListTotals(), QUERY_TIMEOUT_SECONDS))
 
     def show_claim(self, request: WebRequest, workspace: str, key: str) -> Response:
         """Give the state of an idempotency key."""
         query = FindClaim(WorkspaceId(workspace), key)
-        reply = self.ledger.query(query, QUERY_SECONDS)
+        reply = self.ledger.query(query, QUERY_TIMEOUT_SECONDS)
         if reply == b"null":
             raise RequestError(f"claim {workspace}/{key}: not found", Code.UNKNOWN_PATH)
-        return _pass_on(reply)
+        return _forward_json(reply)
 
     def start_drain(self, request: WebRequest) -> Response:
         """Begin a graceful shutdown of this instance."""
@@ -231,7 +235,7 @@
         ]
 
 
-def _raise_refusal(answer: TicketAnswer) -> None:
+def _raise_if_refused(answer: TicketAnswer) -> None:
     detail = f"ticket {answer.number}"
     match answer.outcome:
         case TicketOutcome.CONFLICT:
@@ -248,5 +252,5 @@
     return [entity.model_dump(mode="json") for entity in table.values()]
 
 
-def _pass_on(body: bytes) -> Response:
+def _forward_json(body: bytes) -> Response:
     return Response(200, JSON, [bytes(Raw(body))])
--- a/packages/daemon/src/bergamotwood_daemon/ratings.py
+++ b/packages/daemon/src/bergamotwood_daemon/ratings.py
@@ -9,8 +9,8 @@
 from bergamotwood_daemon.settings import SocketAddress
 
 RATING_PATH = "/v1/ratings"
-RATING_SECONDS = 3.0
-CONNECT_SECONDS = 0.5
+RATING_TIMEOUT_SECONDS = 3.0
+CONNECT_TIMEOUT_SECONDS = 0.5
 MAX_REPLY_BYTES = 4_096
 
 
@@ -28,17 +28,17 @@
     score: float
 
 
-class Ratings:
+class RatingClient:
     """Client of the rating service.
 
     Parameters
     ----------
-    listen : SocketAddress or None
+    address : SocketAddress or None
         Where the service is; None where the site has none.
     """
 
-    def __init__(self, listen: SocketAddress | None) -> None:
-        self._address = Address(listen.host, listen.port) if listen else None
+    def __init__(self, address: SocketAddress | None) -> None:
+        self._address = Address(address.host, address.port) if address else None
 
     def rate(self, rating: RatingRequest) -> float | None:
         """Return the score; None when the service refused or failed."""
@@ -52,9 +52,9 @@
             json.encode(rating),
         )
         try:
-            call.dial(CONNECT_SECONDS)
-            call.send(RATING_SECONDS)
-            body = call.read_all(RATING_SECONDS, MAX_REPLY_BYTES)
+            call.dial(CONNECT_TIMEOUT_SECONDS)
+            call.send(RATING_TIMEOUT_SECONDS)
+            body = call.read_all(RATING_TIMEOUT_SECONDS, MAX_REPLY_BYTES)
         except EndpointError:
             return None
         finally:
--- a/packages/daemon/src/bergamotwood_daemon/routes.py
+++ b/packages/daemon/src/bergamotwood_daemon/routes.py
@@ -21,7 +21,7 @@
 Handler = Callable[..., Response]
 ANY_METHOD = "*"
 # Codes of refusals that another entry may not give.
-SERVED_ELSEWHERE = (Code.CONFIG_STALE, Code.LEDGER_UNAVAILABLE, Code.OVERLOADED)
+RETRY_ELSEWHERE_CODES = (Code.CONFIG_STALE, Code.LEDGER_UNAVAILABLE, Code.OVERLOADED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
         Tried in order.
     limits : Limits
         Bounds on requests.
-    list_others : callable
+    list_other_entries : callable
         Addresses of other entries, told to callers that this one cannot serve.
     """
 
@@ -73,11 +73,11 @@
         self,
         routes: tuple[Route, ...],
         limits: Limits,
-        list_others: Callable[[], tuple[str, ...]],
+        list_other_entries: Callable[[], tuple[str, ...]],
     ) -> None:
         self._routes = routes
         self._limits = limits
-        self._list_others = list_others
+        self._list_other_entries = list_other_entries
         self.active = 0
         self.draining = False
 
@@ -88,9 +88,9 @@
         self.active += 1
         response = self._answer(environ)
         pieces = send_response(response, start_response, self.draining)
-        return ClosingBody(pieces, self._end)
+        return ClosingBody(pieces, self._finish_request)
 
-    def _end(self) -> None:
+    def _finish_request(self) -> None:
         self.active -= 1
 
     def _answer(self, environ: Environ) -> Response:
@@ -98,8 +98,12 @@
         try:
             return self._dispatch(request)
         except BergamotwoodError as error:
-            others = self._list_others() if error.code in SERVED_ELSEWHERE else ()
-            return answer_problem(error, others)
+            addresses = (
+                self._list_other_entries()
+                if error.code in RETRY_ELSEWHERE_CODES
+                else ()
+            )
+            return answer_problem(error, addresses)
         except Exception:
             log_failure("http", "Request failed.", path=request.path)
             return answer_problem(BergamotwoodError("internal error"))
--- a/packages/daemon/src/bergamotwood_daemon/services.py
+++ b/packages/daemon/src/bergamotwood_daemon/services.py
@@ -16,20 +16,24 @@
 from bergamotwood_core.ledger import Attempt, StoredAnswer
 from bergamotwood_core.states import Run
 from bergamotwood_core.target import ServiceTarget
-from bergamotwood_daemon.admittance import Admittance
+from bergamotwood_daemon.admissiongate import AdmissionGate
 from bergamotwood_daemon.attempts import (
     OpenAttempt,
-    Outgoing,
+    OutgoingRequest,
     allow_retry,
+    handle_failure,
     open_attempt,
-    settle_failure,
 )
 from bergamotwood_daemon.authorization import find_workspace
 from bergamotwood_daemon.billing import commit_bill, make_bill
-from bergamotwood_daemon.chatcall import digest_request, make_work, read_key
-from bergamotwood_daemon.claims import KeyedRequest, Ran
+from bergamotwood_daemon.chatcall import (
+    digest_request,
+    make_context,
+    read_idempotency_key,
+)
+from bergamotwood_daemon.claims import CompletedRun, KeyedRequest
 from bergamotwood_daemon.endpointcall import Header
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 from bergamotwood_daemon.hedging import run_hedged
 from bergamotwood_daemon.web import Response, WebRequest
 
@@ -37,7 +41,7 @@
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 # Characters that RFC 3986 allows in a path as they are.
 PATH_CHARACTERS = "/:@!$&'()*+,;=-._~"
-PASSED_HEADERS = ("content-type", "accept", "accept-language")
+FORWARDED_HEADERS = ("content-type", "accept", "accept-language")
 
 
 @dataclass(frozen=True)
@@ -46,7 +50,7 @@
 
     Parameters
     ----------
-    work : Work
+    context : RequestContext
         Its way through the entry.
     service : Service
         What it is for.
@@ -58,45 +62,45 @@
         Tells another request with the same key.
     """
 
-    work: Work
+    context: RequestContext
     service: Service
-    outgoing: Outgoing
+    outgoing: OutgoingRequest
     key: IdempotencyKey | None
     digest: str
 
 
-class Services:
+class ServiceHandler:
     """Requests for plain services at one entry.
 
     Parameters
     ----------
     entry : Entry
         Tables, policies and ways to the leaders.
-    admittance : Admittance
+    admission_gate : AdmissionGate
         Waiting for a slot.
     """
 
-    def __init__(self, entry: Entry, admittance: Admittance) -> None:
+    def __init__(self, entry: Entry, admission_gate: AdmissionGate) -> None:
         self._entry = entry
-        self._admittance = admittance
+        self._admission_gate = admission_gate
 
     def answer(self, request: WebRequest, name: str, path: str) -> Response:
         """Answer a request for a plain service."""
         call = self._read_call(request, name, path)
-        if not call.work.idempotent and call.key is None:
+        if not call.context.idempotent and call.key is None:
             raise RequestError(
                 "idempotency-key: needed for a non-idempotent request",
                 Code.KEY_REQUIRED,
             )
-        self._admittance.enter(call.work, call.service.name)
-        if call.work.idempotent:
+        self._admission_gate.acquire(call.context, call.service.name)
+        if call.context.idempotent:
             try:
                 answer = self._answer_idempotent(call)
             finally:
-                self._admittance.leave(call.work)
+                self._admission_gate.release(call.context)
         else:
             answer = self._answer_once(call)
-        headers = (("Bergamotwood-Request", call.work.id),)
+        headers = (("Bergamotwood-Request", call.context.id),)
         return Response(answer.status, answer.content_type, [answer.body], headers)
 
     def _read_call(self, request: WebRequest, name: str, path: str) -> ServiceCall:
@@ -110,25 +114,27 @@
                 f"workspace {workspace.name} may not use service {name}",
                 Code.FORBIDDEN,
             )
-        work = make_work(self._entry, request, workspace)
+        context = make_context(self._entry, request, workspace)
         safe = request.method in SAFE_METHODS or path in service.idempotent_paths
-        work.idempotent = work.idempotent and safe
+        context.idempotent = context.idempotent and safe
         return ServiceCall(
-            work=work,
+            context=context,
             service=service,
-            outgoing=self._make_outgoing(request, work, path),
-            key=read_key(request),
+            outgoing=self._make_outgoing(request, context, path),
+            key=read_idempotency_key(request),
             digest=digest_request(request),
         )
 
-    def _make_outgoing(self, request: WebRequest, work: Work, path: str) -> Outgoing:
+    def _make_outgoing(
+        self, request: WebRequest, context: RequestContext, path: str
+    ) -> OutgoingRequest:
         headers = [
             Header(name, value)
-            for name in PASSED_HEADERS
-            if (value := _read_passed(request, name))
+            for name in FORWARDED_HEADERS
+            if (value := _read_forwarded_header(request, name))
         ]
-        headers.append(Header("X-Request-Id", work.id))
-        key = read_key(request)
+        headers.append(Header("X-Request-Id", context.id))
+        key = read_idempotency_key(request)
         if key is not None:
             headers.append(Header("Idempotency-Key", key))
         query = request.environ.get("QUERY_STRING", "")
@@ -136,8 +142,8 @@
         quoted = "/" + quote(path.encode("latin-1"), safe=PATH_CHARACTERS)
         target = f"{quoted}?{query}" if query else quoted
         timeouts = self._entry.settings.timeouts
-        wait = timeouts.call if work.idempotent else timeouts.late
-        return Outgoing(
+        wait = timeouts.call if context.idempotent else timeouts.late
+        return OutgoingRequest(
             request.method, target, tuple(headers), request.read_body(), wait
         )
 
@@ -147,46 +153,48 @@
             attempts += 1
             try:
                 answer = run_hedged(
-                    lambda: self._attempt(call), self._entry.hedges, self._entry.clock
+                    lambda: self._attempt(call),
+                    self._entry.hedge_budget,
+                    self._entry.clock,
                 )
                 break
             except EndpointError as error:
                 if error.run is Run.RAN:
                     raise
-                if not allow_retry(self._entry, call.work, attempts):
+                if not allow_retry(self._entry, call.context, attempts):
                     raise
-        bill = make_bill(call.work, call.key, call.digest)
-        commit_bill(self._entry, bill, call.work.trace)
+        bill = make_bill(call.context, call.key, call.digest)
+        commit_bill(self._entry, bill, call.context.trace)
         return answer
 
     def _answer_once(self, call: ServiceCall) -> StoredAnswer:
         keyed = KeyedRequest(
-            call.work.workspace.key, call.key, call.digest, call.work.id
+            call.context.workspace.key, call.key, call.digest, call.context.id
         )
 
-        acting = False
+        dispatched = False
 
-        def act() -> Ran:
-            nonlocal acting
-            acting = True
+        def dispatch() -> CompletedRun:
+            nonlocal dispatched
+            dispatched = True
             try:
                 answer = self._attempt(call)
             finally:
-                self._admittance.leave(call.work)
-            return Ran(answer, make_bill(call.work, call.key, call.digest))
+                self._admission_gate.release(call.context)
+            return CompletedRun(answer, make_bill(call.context, call.key, call.digest))
 
         timeouts = self._entry.settings.timeouts
         try:
-            return self._entry.claims.run_once(keyed, act, timeouts.call)
+            return self._entry.claims.run_once(keyed, dispatch, timeouts.call)
         finally:
             # A run may go on after its caller was answered; it leaves by itself.
-            if not acting:
-                self._admittance.leave(call.work)
+            if not dispatched:
+                self._admission_gate.release(call.context)
 
     def _attempt(self, call: ServiceCall) -> StoredAnswer:
         """Run one attempt and read its whole answer."""
         target = ServiceTarget(ServiceName(call.service.name))
-        attempt = open_attempt(self._entry, call.work, target, call.outgoing)
+        attempt = open_attempt(self._entry, call.context, target, call.outgoing)
         settings = self._entry.settings
         try:
             body = attempt.call.read_all(
@@ -194,23 +202,23 @@
             )
         except EndpointError as error:
             reset = error.code is Code.STREAM_BROKEN
-            settle_failure(self._entry, call.work, attempt, reset)
+            handle_failure(self._entry, call.context, attempt, reset)
             raise
         except GreenletExit:
             attempt.cancel()
             raise
-        return self._close(call, attempt, body)
+        return self._finish_attempt(call, attempt, body)
 
-    def _close(
+    def _finish_attempt(
         self, call: ServiceCall, attempt: OpenAttempt, body: bytes
     ) -> StoredAnswer:
         status = attempt.call.status
-        attempt.note_first_token()
+        attempt.mark_first_token()
         attempt.succeed()
-        call.work.attempts.append(
+        call.context.attempts.append(
             Attempt(
                 call.service.name,
-                attempt.endpoint,
+                attempt.endpoint_id,
                 0,
                 0,
                 call.service.price,
@@ -220,7 +228,7 @@
         return StoredAnswer(status, attempt.call.content_type, body)
 
 
-def _read_passed(request: WebRequest, name: str) -> str | None:
+def _read_forwarded_header(request: WebRequest, name: str) -> str | None:
     if name == "content-type":
         return request.environ.get("CONTENT_TYPE")
     return request.read_header(name)
--- a/packages/daemon/src/bergamotwood_daemon/ticker.py
+++ b/packages/daemon/src/bergamotwood_daemon/ticker.py
@@ -11,7 +11,7 @@
 from bergamotwood_core.rollout import advance_rollouts
 from bergamotwood_core.states import RolloutState
 from bergamotwood_core.tables import ConfigurationTables
-from bergamotwood_daemon.admittance import Admittance
+from bergamotwood_daemon.admissiongate import AdmissionGate
 from bergamotwood_daemon.controlreplica import ControlReplica
 from bergamotwood_daemon.encryption import ServerEncryption
 from bergamotwood_daemon.entry import Entry
@@ -33,7 +33,7 @@
     ----------
     entry : Entry
         The entry, with its tables.
-    admittance : Admittance
+    admission_gate : AdmissionGate
         Admission of requests, including those that wait.
     control_replica : ControlReplica or None
         The control role, if the instance has it.
@@ -46,7 +46,7 @@
     def __init__(
         self,
         entry: Entry,
-        admittance: Admittance,
+        admission_gate: AdmissionGate,
         control_replica: ControlReplica | None,
         order_dispatcher: OrderDispatcher | None,
         tls: ServerEncryption | None,
@@ -54,7 +54,7 @@
         self._order_dispatcher = order_dispatcher
         self._tls = tls
         self._entry = entry
-        self._admittance = admittance
+        self._admission_gate = admission_gate
         self._control_replica = control_replica
         self._greenlet = None
         self._ledger_ticked_at = entry.clock()
@@ -80,7 +80,7 @@
         directory = self._entry.tables.directory
         expire_endpoints(directory, now)
         expire_entries(directory, now)
-        self._admittance.expire(now)
+        self._admission_gate.expire(now)
         self._track_rollout_outcomes(self._entry.tables.configuration)
         self._run_slow_tasks(now)
         if self._control_replica is None:
@@ -95,7 +95,7 @@
         if now - self._slow_tasks_ran_at < SLOW_TASK_INTERVAL_SECONDS:
             return
         self._slow_tasks_ran_at = now
-        self._admittance.set_limits(self._entry.tables.directory, now)
+        self._admission_gate.set_limits(self._entry.tables.directory, now)
         if self._tls is not None:
             self._tls.reload_if_changed()
         if self._order_dispatcher is not None:
--- a/packages/daemon/src/bergamotwood_daemon/tracing.py
+++ b/packages/daemon/src/bergamotwood_daemon/tracing.py
@@ -49,7 +49,7 @@
         self._file.close()
 
 
-def make_tracer(instance: str, path: Path | None) -> TracerProvider:
+def make_tracer_provider(instance: str, path: Path | None) -> TracerProvider:
     """Make the source of spans; without a file they are not kept."""
     resource = Resource(
         {"service.name": "bergamotwood", "service.instance.id": instance}
@@ -87,7 +87,7 @@
         """Add attributes to the first span."""
         self._root.set_attributes(attributes)
 
-    def open_span(self, name: str, **attributes: str | int | float | bool) -> Span:
+    def start_span(self, name: str, **attributes: str | int | float | bool) -> Span:
         """Begin a span below the first one; its user ends it."""
         return self._tracer.start_span(name, self._context, attributes=attributes)
 
--- a/packages/daemon/src/bergamotwood_daemon/web.py
+++ b/packages/daemon/src/bergamotwood_daemon/web.py
@@ -74,20 +74,20 @@
         values = self.query.get(name)
         return values[0] if values else None
 
-    def read_number(self, name: str, default: int, most: int) -> int:
-        """Return a query parameter as a positive number, at most `most`."""
+    def read_number(self, name: str, default: int, maximum: int) -> int:
+        """Return a query parameter as a positive number, at most `maximum`."""
         text = self.read_parameter(name)
         if text is None:
             return default
         if not text.isdecimal() or int(text) < 1:
             raise RequestError(f"{name}: not a positive number: {text!r:.40}")
-        return min(int(text), most)
+        return min(int(text), maximum)
 
     def read_header(self, name: str) -> str | None:
         """Return a header field."""
         return self.environ.get("HTTP_" + name.upper().replace("-", "_"))
 
-    def read_bearer(self) -> str:
+    def read_bearer_token(self) -> str:
         """Return the bearer key, empty when there is none."""
         scheme, _, key = (self.read_header("authorization") or "").partition(" ")
         return key.strip() if scheme.lower() == "bearer" else ""
@@ -115,13 +115,15 @@
         return document
 
     def _read_body(self) -> bytes:
-        most = self.limits.body_bytes
+        maximum = self.limits.body_bytes
         declared = self.environ.get("CONTENT_LENGTH") or "0"
-        if declared.isdecimal() and int(declared) > most:
-            raise RequestError(f"body: larger than {most} bytes", Code.BODY_TOO_LARGE)
+        if declared.isdecimal() and int(declared) > maximum:
+            raise RequestError(
+                f"body: larger than {maximum} bytes", Code.BODY_TOO_LARGE
+            )
         try:
             with Timeout(self.limits.body_seconds):
-                body = self.environ["wsgi.input"].read(most + 1)
+                body = self.environ["wsgi.input"].read(maximum + 1)
         except Timeout as error:
             raise RequestError(
                 f"body: not received within {self.limits.body_seconds} s",
@@ -129,8 +131,10 @@
             ) from error
         except OSError as error:
             raise RequestError("body: cut off", Code.BODY_INCOMPLETE) from error
-        if len(body) > most:
-            raise RequestError(f"body: larger than {most} bytes", Code.BODY_TOO_LARGE)
+        if len(body) > maximum:
+            raise RequestError(
+                f"body: larger than {maximum} bytes", Code.BODY_TOO_LARGE
+            )
         if declared.isdecimal() and len(body) < int(declared):
             raise RequestError("body: cut off", Code.BODY_INCOMPLETE)
         return body
@@ -209,7 +213,7 @@
 
 
 def send_response(
-    response: Response, start_response: StartResponse, last: bool
+    response: Response, start_response: StartResponse, close_connection: bool
 ) -> Iterable[bytes]:
     """Give a response to the WSGI server; the last one closes its connection."""
     phrase = HTTPStatus(response.status).phrase
@@ -217,7 +221,7 @@
     if isinstance(response.body, list):
         length = sum(len(piece) for piece in response.body)
         headers.append(("Content-Length", str(length)))
-    if last:
+    if close_connection:
         headers.append(("Connection", "close"))
     start_response(f"{response.status} {phrase}", headers)
     return response.body
--- a/tests/daemon/test_claims.py
+++ b/tests/daemon/test_claims.py
@@ -13,7 +13,7 @@
 )
 from bergamotwood_core.ledger import Attempt, Bill, LedgerMachine, StoredAnswer
 from bergamotwood_core.states import ClaimState, Run
-from bergamotwood_daemon.claims import Claims, KeyedRequest, Ran
+from bergamotwood_daemon.claims import Claims, CompletedRun, KeyedRequest
 
 ANSWER = StoredAnswer(200, "application/json", b"{}")
 
@@ -39,7 +39,7 @@
         return answer
 
 
-class Site:
+class SharedKey:
     """One key at entries that share a ledger; counts dispatches."""
 
     def __init__(self):
@@ -51,16 +51,16 @@
         claims = Claims(self.ledger, 0.1, Random(1))
         request = KeyedRequest("karen", "k", digest, id)
 
-        def act():
+        def dispatch():
             self.runs += 1
             if hold is not None:
                 hold.wait()
             if self.error is not None:
                 raise self.error
             attempt = Attempt("parcels", "e1", cost=0.5)
-            return Ran(ANSWER, Bill(id, "karen", "k", digest, (attempt,), 0.5))
+            return CompletedRun(ANSWER, Bill(id, "karen", "k", digest, (attempt,), 0.5))
 
-        return claims.run_once(request, act, wait)
+        return claims.run_once(request, dispatch, wait)
 
     def wait_for_state(self, state):
         while self.find_state() is not state:
@@ -76,90 +76,90 @@
 
 
 @pytest.fixture
-def site():
-    return Site()
+def entries():
+    return SharedKey()
 
 
-def test_resend_through_another_entry_gets_the_answer_and_does_not_run(site):
-    assert site.run("a-1-1") == ANSWER
-    assert site.run("b-1-1") == ANSWER
-    assert (site.runs, site.bills) == (1, 1)
+def test_resend_through_another_entry_gets_the_answer_and_does_not_run(entries):
+    assert entries.run("a-1-1") == ANSWER
+    assert entries.run("b-1-1") == ANSWER
+    assert (entries.runs, entries.bills) == (1, 1)
 
 
-def test_same_key_with_another_body_is_a_conflict_and_does_not_run(site):
-    site.run("a-1-1")
+def test_same_key_with_another_body_is_a_conflict_and_does_not_run(entries):
+    entries.run("a-1-1")
     with pytest.raises(IdempotencyError) as caught:
-        site.run("b-1-1", digest="other")
+        entries.run("b-1-1", digest="other")
     assert caught.value.code is Code.KEY_CONFLICT
     assert caught.value.run is Run.NOT_RUN
-    assert site.runs == 1
+    assert entries.runs == 1
 
 
-def test_two_at_once_run_once_and_the_other_is_told(site):
+def test_concurrent_request_with_the_same_key_is_refused_as_in_progress(entries):
     hold = Event()
-    first = spawn(site.run, "a-1-1", hold=hold)
-    site.wait_for_state(ClaimState.HELD)
+    first = spawn(entries.run, "a-1-1", hold=hold)
+    entries.wait_for_state(ClaimState.HELD)
     with pytest.raises(IdempotencyError) as caught:
-        site.run("b-1-1")
+        entries.run("b-1-1")
     assert caught.value.code is Code.IN_PROGRESS
     hold.set()
     assert first.get() == ANSWER
-    assert (site.runs, site.bills) == (1, 1)
+    assert (entries.runs, entries.bills) == (1, 1)
 
 
-def test_unconfirmed_claim_is_not_run_and_is_released_for_the_resend(site):
-    site.ledger.fail_after = 1
+def test_unconfirmed_claim_is_not_run_and_is_released_for_the_resend(entries):
+    entries.ledger.fail_after = 1
     with pytest.raises(RefusedError) as caught:
-        site.run("a-1-1")
+        entries.run("a-1-1")
     assert caught.value.run is Run.NOT_RUN
-    site.wait_for_state(None)
-    assert site.run("a-1-2") == ANSWER
-    assert site.runs == 1
+    entries.wait_for_state(None)
+    assert entries.run("a-1-2") == ANSWER
+    assert entries.runs == 1
 
 
-def test_failure_before_dispatch_releases_the_claim(site):
-    site.error = EndpointError("refused", run=Run.NOT_RUN)
+def test_failure_before_dispatch_releases_the_claim(entries):
+    entries.error = EndpointError("refused", run=Run.NOT_RUN)
     with pytest.raises(EndpointError) as caught:
-        site.run("a-1-1")
+        entries.run("a-1-1")
     assert caught.value.run is Run.NOT_RUN
-    site.wait_for_state(None)
-    site.error = None
-    assert site.run("a-1-2") == ANSWER
+    entries.wait_for_state(None)
+    entries.error = None
+    assert entries.run("a-1-2") == ANSWER
 
 
-def test_failure_after_dispatch_is_unknown_for_good(site):
-    site.error = EndpointError("reset")
+def test_failure_after_dispatch_leaves_the_outcome_unknown(entries):
+    entries.error = EndpointError("reset")
     with pytest.raises(IdempotencyError) as caught:
-        site.run("a-1-1")
+        entries.run("a-1-1")
     assert caught.value.code is Code.OUTCOME_UNKNOWN
-    site.wait_for_state(ClaimState.UNKNOWN)
-    site.error = None
+    entries.wait_for_state(ClaimState.UNKNOWN)
+    entries.error = None
     with pytest.raises(IdempotencyError) as caught:
-        site.run("b-1-1")
+        entries.run("b-1-1")
     assert caught.value.run is Run.MAY_HAVE_RUN
-    assert (site.runs, site.bills) == (1, 0)
+    assert (entries.runs, entries.bills) == (1, 0)
 
 
-def test_late_answer_is_stored_and_billed_though_its_caller_has_gone(site):
+def test_late_answer_is_stored_and_billed_after_its_caller_timed_out(entries):
     hold = Event()
     with pytest.raises(IdempotencyError) as caught:
-        site.run("a-1-1", wait=0.01, hold=hold)
+        entries.run("a-1-1", wait=0.01, hold=hold)
     assert caught.value.run is Run.MAY_HAVE_RUN
     hold.set()
-    site.wait_for_state(ClaimState.DONE)
-    assert site.run("b-1-1") == ANSWER
-    assert (site.runs, site.bills) == (1, 1)
+    entries.wait_for_state(ClaimState.DONE)
+    assert entries.run("b-1-1") == ANSWER
+    assert (entries.runs, entries.bills) == (1, 1)
 
 
-def test_bill_that_is_not_confirmed_at_once_is_settled_later(site):
+def test_unconfirmed_bill_is_submitted_again_until_it_commits(entries):
     hold = Event()
-    first = spawn(site.run, "a-1-1", hold=hold)
-    site.wait_for_state(ClaimState.HELD)
-    site.ledger.fail_before = 2
+    first = spawn(entries.run, "a-1-1", hold=hold)
+    entries.wait_for_state(ClaimState.HELD)
+    entries.ledger.fail_before = 2
     hold.set()
     with pytest.raises(IdempotencyError) as caught:
         first.get()
     assert caught.value.run is Run.RAN
-    site.wait_for_state(ClaimState.DONE)
-    assert site.run("b-1-1") == ANSWER
-    assert (site.runs, site.bills) == (1, 1)
+    entries.wait_for_state(ClaimState.DONE)
+    assert entries.run("b-1-1") == ANSWER
+    assert (entries.runs, entries.bills) == (1, 1)
--- a/tests/daemon/test_endpointcall.py
+++ b/tests/daemon/test_endpointcall.py
@@ -13,10 +13,10 @@
 class RawServer:
     """Answers each connection with fixed bytes, then closes or stays silent."""
 
-    def __init__(self, answer, stay=False):
+    def __init__(self, answer, keep_open=False):
         self.connections = 0
         self._answer = answer
-        self._stay = stay
+        self._keep_open = keep_open
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self.address = Address("127.0.0.1", self._server.server_port)
@@ -25,7 +25,7 @@
         self.connections += 1
         sock.recv(65_536)
         sock.sendall(self._answer)
-        if self._stay:
+        if self._keep_open:
             sock.recv(1)
 
     def stop(self):
@@ -42,8 +42,8 @@
 def serve():
     servers = []
 
-    def start(answer, stay=False):
-        servers.append(RawServer(answer, stay))
+    def start(answer, keep_open=False):
+        servers.append(RawServer(answer, keep_open))
         return servers[-1]
 
     yield start
@@ -51,8 +51,8 @@
         server.stop()
 
 
-def test_whole_body_is_read_to_its_checked_end(serve):
-    server = serve(HEAD + b"Content-Length: 5\r\n\r\nhello", stay=True)
+def test_body_is_read_up_to_its_content_length(serve):
+    server = serve(HEAD + b"Content-Length: 5\r\n\r\nhello", keep_open=True)
     call = make_call(server)
     call.send(1.0)
     assert call.read_all(1.0, 100) == b"hello"
@@ -65,7 +65,7 @@
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
     ],
 )
-def test_short_body_is_an_error_and_never_a_short_answer(serve, answer):
+def test_truncated_body_raises_stream_broken(serve, answer):
     call = make_call(serve(answer))
     call.send(1.0)
     with pytest.raises(EndpointError) as caught:
@@ -74,8 +74,8 @@
     assert caught.value.run is Run.MAY_HAVE_RUN
 
 
-def test_silence_is_told_apart_from_a_broken_connection(serve):
-    server = serve(HEAD + b"Content-Length: 9\r\n\r\nhello", stay=True)
+def test_read_timeout_raises_stream_silent(serve):
+    server = serve(HEAD + b"Content-Length: 9\r\n\r\nhello", keep_open=True)
     call = make_call(server)
     call.send(1.0)
     with pytest.raises(EndpointError) as caught:
@@ -83,7 +83,7 @@
     assert caught.value.code is Code.STREAM_SILENT
 
 
-def test_connection_closed_before_the_answer_is_not_sent_again(serve):
+def test_request_is_not_resent_when_the_connection_closes_without_an_answer(serve):
     server = serve(b"")
     call = make_call(server)
     with pytest.raises(EndpointError) as caught:
@@ -92,7 +92,7 @@
     assert server.connections == 1
 
 
-def test_refused_connection_says_not_run():
+def test_refused_connection_raises_an_error_marked_not_run():
     server = RawServer(b"")
     server.stop()
     with pytest.raises(EndpointError) as caught:
@@ -100,7 +100,7 @@
     assert caught.value.run is Run.NOT_RUN
 
 
-def test_events_are_split_wherever_the_bytes_are_cut(serve):
+def test_events_are_parsed_when_they_arrive_byte_by_byte(serve):
     events = b"data: one\n\ndata: two\r\n\r\ndata: three\n\n"
     chunks = b"".join(
         b"1\r\n" + events[i : i + 1] + b"\r\n" for i in range(len(events))
@@ -119,8 +119,8 @@
     assert caught.value.code is Code.ANSWER_TOO_LARGE
 
 
-def test_closing_cancels_a_reader(serve):
-    call = make_call(serve(HEAD + b"Content-Length: 9\r\n\r\nhello", stay=True))
+def test_close_ends_a_blocked_read_with_an_error(serve):
+    call = make_call(serve(HEAD + b"Content-Length: 9\r\n\r\nhello", keep_open=True))
     call.send(5.0)
     reader = spawn(call.read_all, 5.0, 100)
     reader.join(0.01)
--- a/tests/daemon/test_hedging.py
+++ b/tests/daemon/test_hedging.py
@@ -11,20 +11,20 @@
 class Attempts:
     """Attempts that end as the test says: an answer, an error, or never."""
 
-    def __init__(self, *ends):
-        self.ends = list(ends)
+    def __init__(self, *outcomes):
+        self.outcomes = list(outcomes)
         self.started = 0
         self.cancelled = 0
 
     def __call__(self):
-        end = self.ends[self.started]
+        outcome = self.outcomes[self.started]
         self.started += 1
         try:
-            if isinstance(end, Exception):
-                raise end
-            if end is None:
+            if isinstance(outcome, Exception):
+                raise outcome
+            if outcome is None:
                 Event().wait()
-            return end
+            return outcome
         except BaseException as error:
             self.cancelled += not isinstance(error, EndpointError)
             raise
@@ -44,7 +44,7 @@
     return run_hedged(attempts, budget, lambda: Seconds(0.0))
 
 
-def test_late_call_is_answered_by_the_second_and_the_loser_is_cancelled(budget):
+def test_second_attempt_answers_a_late_call_and_the_first_is_cancelled(budget):
     attempts = Attempts(None, "second")
     assert run(attempts, budget) == "second"
     sleep(0)
@@ -65,8 +65,8 @@
     assert attempts.started == 1
 
 
-def test_first_error_is_told_when_both_fail(budget):
-    class Late(Attempts):
+def test_first_error_is_raised_when_both_attempts_fail(budget):
+    class SlowFirstAttempt(Attempts):
         def __call__(self):
             number = self.started
             if number == 0:
@@ -75,7 +75,7 @@
                 raise EndpointError("first")
             return super().__call__()
 
-    attempts = Late(None, EndpointError("second"))
+    attempts = SlowFirstAttempt(None, EndpointError("second"))
     with pytest.raises(EndpointError, match="first"):
         run(attempts, budget)
     assert attempts.started == 2
