--- a/packages/daemon/src/bergamotwood_daemon/__main__.py
+++ b/packages/daemon/src/bergamotwood_daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Lets `python -m bergamotwood_daemon` run the daemon."""
+"""Runs the daemon for `python -m bergamotwood_daemon`."""
 
 from bergamotwood_daemon.boot import main
 
--- a/packages/daemon/src/bergamotwood_daemon/admissiongate.py
+++ b/packages/daemon/src/bergamotwood_daemon/admissiongate.py
@@ -1,4 +1,4 @@
-"""Waiting for admission: greenlets over the pure queue."""
+"""Blocks greenlets until the admission controller admits or refuses their requests."""
 
 from dataclasses import dataclass
 
@@ -20,12 +20,12 @@
 
 
 class AdmissionGate:
-    """Keeps each request waiting until the queue lets it run or refuses it.
+    """Makes each request wait until the admission queue admits or refuses it.
 
     Parameters
     ----------
     entry : Entry
-        Whose queue, and whose table of requests in flight.
+        Owner of the admission queue and of the table of requests in flight.
     """
 
     def __init__(self, entry: Entry) -> None:
@@ -39,7 +39,7 @@
         Raises
         ------
         RefusedError
-            At once when the request is given up on; nothing ran.
+            The request was refused, or dropped from the queue; nothing ran.
         """
         context.trace.annotate(request=context.id, workspace=context.workspace.name)
         try:
@@ -54,17 +54,17 @@
         )
 
     def release(self, context: RequestContext) -> None:
-        """Give the slot back; a second call changes nothing."""
+        """Release the slot; a second call has no effect."""
         self._entry.tables.in_flight.pop(context.id, None)
         self._admit_all(self._admission.release(context.id, self._entry.clock()))
         context.trace.end()
 
     def expire(self, now: Seconds) -> None:
-        """Refuse whoever can no longer start in time."""
+        """Refuse queued requests that can no longer start before their deadline."""
         self._refuse_all(self._admission.expire(now), Code.DEADLINE_EXCEEDED)
 
     def set_limits(self, directory: DirectoryTables, now: Seconds) -> None:
-        """Fit the limit of each pool to what its endpoints announce."""
+        """Set the limit of each pool from what its endpoints announce."""
         totals: dict[str, _PoolTotal] = {}
         for endpoint in directory.endpoints.values():
             if endpoint.serving:
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class _PoolTotal:
-    """What the endpoints of one version or service announce in all."""
+    """Totals over the endpoints of one version or service."""
 
     capacity: float = 0.0
     load: float = 0.0
--- a/packages/daemon/src/bergamotwood_daemon/answer.py
+++ b/packages/daemon/src/bergamotwood_daemon/answer.py
@@ -58,13 +58,13 @@
     Parameters
     ----------
     entry : Entry
-        Where the request came in.
+        The entry that received the request.
     context : RequestContext
-        The request.
+        State of the request at the entry.
     version : Version
-        What answers it.
+        The version that answers.
     document : dict
-        The caller's chat request.
+        The caller's JSON document.
     """
 
     def __init__(
@@ -81,24 +81,24 @@
 
     @property
     def usage(self) -> Usage:
-        """Tokens taken; known after the end."""
+        """Tokens used; zero until the end of the answer."""
         return self._assembler.usage or Usage()
 
     @property
     def cost(self) -> float:
-        """Cost units of the whole answer."""
+        """Cost of the complete answer, in cost units."""
         usage = self.usage
         prompt = usage.prompt_tokens * self.version.input_price
         output = usage.completion_tokens * self.version.output_price
         return (prompt + output) / TOKENS_PER_PRICE
 
     def stream(self) -> Iterator[Chunk]:
-        """Yield the chunks in order; returns only after a checked end.
+        """Yield the chunks in order; return only when the answer is complete.
 
         Raises
         ------
         EndpointError, RefusedError, AuthorizationError
-            The answer is not whole.
+            The answer is incomplete.
         """
         attempts = 0
         self._entry.outcomes.count_start(self.version.version_id)
@@ -138,7 +138,7 @@
             raise self._mark_partly_run(error) from error
 
     def _mark_partly_run(self, error: RefusedError) -> BergamotwoodError:
-        """Say that the request has run in part, where it has."""
+        """Mark a refusal MAY_HAVE_RUN if an earlier attempt was dispatched."""
         if not self._context.attempts:
             return error
         return RefusedError(error.detail, error.code, Run.MAY_HAVE_RUN)
@@ -154,7 +154,8 @@
                 break
             if self._entry.clock() >= self._context.deadline:
                 raise EndpointError(
-                    "the deadline passed before the end", Code.DEADLINE_EXCEEDED
+                    "the deadline passed before the end of the answer",
+                    Code.DEADLINE_EXCEEDED,
                 )
             for chunk in self._assembler.accept(_decode_chunk(event)):
                 self._mark_first_token(attempt)
@@ -215,7 +216,7 @@
         choice = decoded.choices[0] if decoded.choices else _Choice()
         delta = _DELTAS.decode(choice.delta)
     except (DecodeError, ValidationError) as error:
-        raise EndpointError(f"not a chunk: {error}", Code.STREAM_BROKEN) from error
+        raise EndpointError(f"invalid chunk: {error}", Code.STREAM_BROKEN) from error
     return Chunk(
         RequestId(decoded.id),
         decoded.index,
--- a/packages/daemon/src/bergamotwood_daemon/attempts.py
+++ b/packages/daemon/src/bergamotwood_daemon/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: choosing an endpoint, the check at dispatch, and what failures tell."""
+"""Attempts at a request: choosing an endpoint, sending, and recording the result."""
 
 from dataclasses import dataclass
 
@@ -44,13 +44,13 @@
     Parameters
     ----------
     method, path : str
-        Request line.
+        HTTP method and request target.
     headers : tuple of Header
         Header fields.
     body : bytes
         Request body.
     wait_seconds : float
-        Silence allowed until the answer begins.
+        Longest time without data until the answer begins.
     """
 
     method: str
@@ -66,11 +66,11 @@
     Attributes
     ----------
     call : EndpointCall
-        Its connection.
+        HTTP call to the endpoint.
     endpoint_id : EndpointId
-        Where it runs.
+        The endpoint that runs the request.
     first_token_seconds : float or None
-        From dispatch to the first token.
+        Time from dispatch to the first token; None before the first token.
     """
 
     def __init__(
@@ -96,14 +96,14 @@
         record_start(endpoint, self.started_at)
 
     def isolate(self) -> bool:
-        """Keep other suspects off the endpoint while this one runs there."""
+        """Reserve the endpoint for this suspect; False if another one is running."""
         self._isolated = self._entry.isolation.start(
             self._context.fingerprint, self.endpoint_id
         )
         return self._isolated
 
     def mark_first_token(self) -> None:
-        """Note the first token or the plain answer."""
+        """Record the time of the first token, or of a plain service's answer."""
         if self.first_token_seconds is not None:
             return
         now = self._entry.clock()
@@ -111,7 +111,7 @@
         record_first_token(self._endpoint, self.first_token_seconds, now)
 
     def succeed(self) -> None:
-        """Close after a whole answer, which clears a suspect."""
+        """Close after a complete answer, which clears a suspect."""
         if not self._close():
             return
         record_success(self._endpoint, self._entry.clock())
@@ -124,7 +124,7 @@
             record_failure(self._endpoint, self._entry.clock(), answered)
 
     def cancel(self) -> None:
-        """Close because nobody wants the answer."""
+        """Close because the answer is no longer needed; no effect once closed."""
         if self._close():
             record_cancel(self._endpoint, self.first_token_seconds is not None)
 
@@ -143,14 +143,14 @@
 def open_attempt(
     entry: Entry, context: RequestContext, target: Target, outgoing: OutgoingRequest
 ) -> OpenAttempt:
-    """Choose an endpoint, dial it, check once more, and send.
+    """Choose an endpoint, connect, repeat the checks, and send the request.
 
     Raises
     ------
     RefusedError, AuthorizationError
         Nothing was sent.
     EndpointError
-        `run` tells whether the endpoint may have got it.
+        `run` says whether the endpoint may have received the request.
     """
     wait_for_clearance(entry, context)
     last_error: EndpointError | RefusedError | None = None
@@ -191,7 +191,7 @@
 def handle_failure(
     entry: Entry, context: RequestContext, attempt: OpenAttempt, reset: bool
 ) -> None:
-    """Learn from a failed attempt, and record a crash of its endpoint.
+    """Record a failed attempt, and after a reset check for a crash of its endpoint.
 
     Raises
     ------
@@ -208,7 +208,7 @@
 
 
 def allow_retry(entry: Entry, context: RequestContext, attempts: int) -> bool:
-    """Whether a failed request may be sent once more."""
+    """Whether a failed request may be sent again; takes a retry from the budget."""
     if not (context.idempotent and context.retryable) or attempts >= MAX_ATTEMPTS:
         return False
     if entry.clock() >= context.deadline:
@@ -267,7 +267,7 @@
     if context.is_suspect and not attempt.isolate():
         attempt.cancel()
         raise RefusedError(
-            "a request under suspicion is running already",
+            "a request suspected of crashing endpoints is already running",
             Code.OVERLOADED,
             retry_after=1.0,
         )
--- a/packages/daemon/src/bergamotwood_daemon/authorization.py
+++ b/packages/daemon/src/bergamotwood_daemon/authorization.py
@@ -1,4 +1,4 @@
-"""Who a caller is, from the key that it shows."""
+"""Authentication of callers by their bearer keys."""
 
 from hashlib import sha256
 from hmac import compare_digest
@@ -10,7 +10,7 @@
 
 
 def find_workspace(request: WebRequest, tables: ConfigurationTables) -> Workspace:
-    """Return the workspace whose key the caller shows.
+    """Return the workspace that the caller's key belongs to.
 
     Raises
     ------
@@ -44,7 +44,7 @@
 def _hash_key(request: WebRequest) -> str:
     key = request.read_bearer_token()
     if not key:
-        raise AuthorizationError("authorization: bearer key needed")
+        raise AuthorizationError("authorization: bearer key required")
     return sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
--- a/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -1,4 +1,4 @@
-"""The steps of a cascade: run, rate, accept, and learn from what came back."""
+"""Runs the steps of a cascade, and rates and records their answers."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -35,13 +35,13 @@
     Parameters
     ----------
     answer : VersionAnswer
-        What a version answers.
+        The answer of the step's version.
     chunks : iterator of Chunk
-        The answer, from its first chunk.
+        Chunks of the answer, from the first one.
     key : EstimateKey
-        What its ratings are about.
+        Estimate that ratings of the answer update.
     score : float or None
-        Rating before it was returned, if it was rated.
+        Rating from before the answer was returned; None without one.
     """
 
     answer: VersionAnswer
@@ -56,9 +56,9 @@
     Parameters
     ----------
     entry : Entry
-        Tables, policies and ways to the leaders.
+        Shared state of the entry.
     ratings : RatingClient
-        The rating service.
+        Client of the rating service.
     """
 
     def __init__(self, entry: Entry, ratings: RatingClient) -> None:
@@ -66,7 +66,7 @@
         self._ratings = ratings
 
     def plan(self, call: ChatCall) -> CascadePlan:
-        """Choose the steps by the configuration in force now."""
+        """Choose the steps by the current configuration."""
         return self._entry.policy.plan(
             call.context.workspace,
             call.request_class,
@@ -79,8 +79,8 @@
     def run(self, call: ChatCall, steps: tuple[Step, ...]) -> StepAnswer:
         """Run steps until an answer is accepted.
 
-        Where the later steps fail, the newest answer that was whole is returned
-        though its rating is low.
+        If the later steps fail, the last complete answer is returned despite its low
+        rating.
 
         Raises
         ------
@@ -102,7 +102,9 @@
             fallback = step_answer
         if fallback is not None:
             return fallback
-        raise failure or RefusedError("no version may answer", Code.NO_ENDPOINT)
+        raise failure or RefusedError(
+            "no version can answer the request", Code.NO_ENDPOINT
+        )
 
     def prepare_answer(
         self, call: ChatCall, version: VersionId, number: int = 0
@@ -110,7 +112,9 @@
         """Prepare the answer of one version; nothing is sent yet."""
         entity = self._entry.tables.configuration.versions.get(version)
         if entity is None:
-            raise RefusedError(f"version {version} is gone", Code.VERSION_WITHDRAWN)
+            raise RefusedError(
+                f"version {version} no longer exists", Code.VERSION_WITHDRAWN
+            )
         answer = VersionAnswer(self._entry, call.context, entity, call.document)
         key = EstimateKey(
             call.context.workspace.key, call.request_class, version, number > 0
@@ -118,7 +122,7 @@
         return StepAnswer(answer, answer.stream(), key)
 
     def record_answer(self, call: ChatCall, returned: StepAnswer) -> None:
-        """Learn from an answer that the caller gets whole."""
+        """Update the estimates with an answer that the caller receives in full."""
         answer = returned.answer
         first = answer.first_token_seconds or 0.0
         usage = Usage(
@@ -136,7 +140,7 @@
         self._entry.outcomes.count_outcome(Outcome(version, False, first))
 
     def count_failure(self, failed: StepAnswer, error: BergamotwoodError) -> None:
-        """Count a failure of an endpoint against its version."""
+        """Count an endpoint's failure in the outcomes of its version."""
         if isinstance(error, EndpointError):
             outcome = Outcome(failed.answer.version.version_id, failed=True)
             self._entry.outcomes.count_outcome(outcome)
@@ -144,18 +148,18 @@
     def sample_for_rating(
         self, call: ChatCall, returned: StepAnswer, text: str
     ) -> None:
-        """Have some returned answers rated, without the caller waiting."""
+        """Rate a sample of the returned answers in the background."""
         if self._should_sample(returned):
             spawn(self._rate_returned, call, returned, text)
 
     def _run_step(
         self, call: ChatCall, step: Step, number: int, count: int
     ) -> StepAnswer:
-        """Run one step; an answer that is rated first comes whole."""
+        """Run one step; an answer to be rated is first read in full."""
         step_answer = self.prepare_answer(call, step.version, number)
         try:
             if number == count - 1 or not step.rate:
-                # Waiting for the first chunk gives an early failure its status.
+                # Waiting for the first chunk lets an early failure set the HTTP status.
                 step_answer.chunks = chain(
                     (next(step_answer.chunks),), step_answer.chunks
                 )
@@ -165,12 +169,12 @@
             self.count_failure(step_answer, error)
             raise
         step_answer.chunks = iter(chunks)
-        # Without a rating the answer is not known to do, and the next step runs.
+        # An answer without a rating counts as rejected, so the next step runs.
         step_answer.score = self._rate(call, step_answer, join_text(chunks)) or 0.0
         return step_answer
 
     def _should_sample(self, returned: StepAnswer) -> bool:
-        """Whether to rate a returned answer; those of a roll-out come first."""
+        """Whether to rate a returned answer; candidates of roll-outs take priority."""
         policy = self._entry.policy
         now = self._entry.clock()
         if returned.score is not None:
@@ -185,8 +189,8 @@
             return
         second = self._request_rating(call, returned, text)
         if second is not None:
-            # The answer was selected by its first rating, so that the second one
-            # tells about the selection and not about the version.
+            # The answer was selected by its first rating, so the second one measures
+            # the selection rather than the version.
             self._entry.policy.record_repeated_rating(returned.score, second)
 
     def _rate(self, call: ChatCall, rated: StepAnswer, text: str) -> float | None:
--- a/packages/daemon/src/bergamotwood_daemon/chat.py
+++ b/packages/daemon/src/bergamotwood_daemon/chat.py
@@ -1,4 +1,4 @@
-"""`POST /v1/chat/completions`: from a caller's request to its whole answer."""
+"""Handles `POST /v1/chat/completions`, from the request to the end of the answer."""
 
 from collections.abc import Generator
 
@@ -39,16 +39,16 @@
 
 
 class ChatHandler:
-    """Chat requests at one entry.
+    """Answers the chat requests of one entry.
 
     Parameters
     ----------
     entry : Entry
-        Tables, policies and ways to the leaders.
+        Shared state of the entry.
     admission_gate : AdmissionGate
-        Waiting for a slot.
+        Makes requests wait for a slot.
     ratings : RatingClient
-        The rating service.
+        Client of the rating service.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         plan = self._cascade_runner.plan(call)
         if not call.context.idempotent and call.key is None:
             raise RequestError(
-                "idempotency-key: needed for a non-idempotent request",
+                "idempotency-key: required for a non-idempotent request",
                 Code.KEY_REQUIRED,
             )
         index = self._entry.watch.applied
@@ -101,7 +101,7 @@
     def _stream(
         self, call: ChatCall, step_answer: StepAnswer
     ) -> Generator[bytes, None, None]:
-        """Encode events; the end marker follows the committed bill."""
+        """Encode events; the end marker is sent after the bill is committed."""
         answer = step_answer.answer
         encoder = EventEncoder(call.context.id, answer.version.id)
         sent: list[Chunk] = []
@@ -115,7 +115,7 @@
             yield DONE_EVENT
         except BergamotwoodError as error:
             self._cascade_runner.count_failure(step_answer, error)
-            log_event("chat", "Answer not whole.", request=call.context.id)
+            log_event("chat", "Answer ended with an error.", request=call.context.id)
             problem = encode_problem(error, call.context.id)
             yield b'data: {"error":%b}\n\n' % problem
             return
@@ -161,7 +161,7 @@
                 keyed, dispatch, self._entry.settings.timeouts.request
             )
         finally:
-            # A run may go on after its caller was answered; it leaves by itself.
+            # A dispatched run may outlast its caller; it releases its slot itself.
             if not dispatched:
                 self._admission_gate.release(call.context)
         return Response(stored.status, stored.content_type, [stored.body])
--- a/packages/daemon/src/bergamotwood_daemon/chatcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/chatcall.py
@@ -1,4 +1,4 @@
-"""A caller's chat request: checked, and what it may run on."""
+"""Validates chat requests, and lists the versions that may answer them."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -43,28 +43,28 @@
 
 @dataclass(frozen=True)
 class ChatCall:
-    """A checked chat request.
+    """A validated chat request.
 
     Parameters
     ----------
     context : RequestContext
-        Its way through the entry.
+        State of the request at the entry.
     document : dict
-        The caller's JSON, passed on to engines.
+        The caller's JSON document, forwarded to engines.
     models : tuple of ModelName
         Models of the named cascade, or the named model.
     pinned_version : VersionId or None
-        Version of its session, or the one that it names.
+        Version of the caller's session, or the version that the request names.
     stream : bool
-        Whether the caller wants events.
+        Whether the caller asked for server-sent events.
     key : IdempotencyKey or None
-        Chosen by the caller.
+        Idempotency key of the caller.
     digest : str
-        Of the path and the body, to tell another request with the same key.
+        Digest that detects a different request with the same key.
     prompt_tokens : int
-        Estimate of the prompt's size.
+        Estimated number of prompt tokens.
     request_class : RequestClass
-        Kind of request.
+        Class whose estimates the cascade policy uses.
     """
 
     context: RequestContext
@@ -79,12 +79,12 @@
 
 
 def read_chat_call(entry: Entry, request: WebRequest, workspace: Workspace) -> ChatCall:
-    """Check a chat request.
+    """Validate a chat request.
 
     Raises
     ------
     RequestError, AuthorizationError
-        It cannot be accepted; nothing ran.
+        The request is not acceptable; nothing ran.
     """
     document = request.read_json()
     prompt = _read_prompt(document)
@@ -113,7 +113,7 @@
 def make_context(
     entry: Entry, request: WebRequest, workspace: Workspace
 ) -> RequestContext:
-    """Make the record of a request that came in."""
+    """Create the context of a received request."""
     session = request.read_header("bergamotwood-session")
     id = entry.make_request_id()
     return RequestContext(
@@ -143,7 +143,7 @@
 
 
 def digest_request(request: WebRequest) -> str:
-    """Digest of what a key stands for: method, path, query and body."""
+    """Hash method, path, query and body, which must not differ for one key."""
     digest = sha256()
     query = request.environ.get("QUERY_STRING", "")
     for part in (request.method, request.path, query):
@@ -158,7 +158,7 @@
     Raises
     ------
     RefusedError, AuthorizationError
-        There is none.
+        No version may answer.
     """
     tables = entry.tables.configuration
     if call.pinned_version is not None:
@@ -213,7 +213,7 @@
 def _read_prompt(document: dict[str, Any]) -> str:
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise RequestError("messages: a list of at least one message is needed")
+        raise RequestError("messages: a list of at least one message is required")
     if not all(isinstance(message, dict) for message in messages):
         raise RequestError("messages: each must be an object")
     pieces = []
@@ -229,7 +229,7 @@
     tables: ConfigurationTables, workspace: Workspace, name: Any
 ) -> tuple[tuple[ModelName, ...], VersionId | None]:
     if not isinstance(name, str):
-        raise RequestError("model: the name of a model, version or cascade is needed")
+        raise RequestError("model: the name of a model, version or cascade is required")
     cascade = tables.cascades.get(CascadeName(name))
     if cascade is not None and name in workspace.cascades:
         return tuple(ModelName(model) for model in cascade.models), None
@@ -253,7 +253,7 @@
     version = read_session(context.session, entry.secret)
     if version.partition(":")[0] not in models:
         raise RequestError(
-            f"session: it is on {version}, which the request does not name",
+            f"session: bound to {version}, which the request does not name",
             Code.SESSION_INVALID,
         )
     return version
--- a/packages/daemon/src/bergamotwood_daemon/claims.py
+++ b/packages/daemon/src/bergamotwood_daemon/claims.py
@@ -1,4 +1,4 @@
-"""Running non-idempotent requests at most once, through claims in the ledger."""
+"""Runs non-idempotent requests at most once, by claiming their key in the ledger."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedRequest:
-    """A request whose key must run at most once."""
+    """A request that must run at most once for its idempotency key."""
 
     workspace: WorkspaceId
     key: IdempotencyKey
@@ -64,23 +64,30 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletedRun:
-    """What one run gave: the answer to keep and the bill for it."""
+    """Result of one run: the answer to store and the bill for it."""
 
     answer: StoredAnswer
     bill: Bill
 
 
 class Claims:
-    """Claims of one entry.
+    """Claims idempotency keys for one entry and records how their requests ended.
 
     Parameters
     ----------
     ledger : Proposer
-        Submits to the ledger group.
+        Submits commands to the ledger group.
     timeout_seconds : float
-        Wait for a commit.
+        Longest wait for one commit.
     rng : Random
-        Source of jitter.
+        Source of jitter for the backoff.
+
+    Attributes
+    ----------
+    unconfirmed_commands : int
+        Commands submitted in the background that the ledger has not confirmed yet.
+    running : int
+        Requests that are running now.
     """
 
     def __init__(self, ledger: Proposer, timeout_seconds: float, rng: Random) -> None:
@@ -96,23 +103,23 @@
         dispatch: Callable[[], CompletedRun],
         wait_seconds: float,
     ) -> StoredAnswer:
-        """Claim the key, run at most once, and return the answer.
+        """Claim the key, run the request at most once, and return its answer.
 
         Parameters
         ----------
         request : KeyedRequest
-            Whose key is claimed.
+            The request and the key to claim.
         dispatch : callable
             Dispatches the request; called at most once, after the claim.
         wait_seconds : float
-            Time that the caller is kept; the run itself goes on.
+            Time that the caller waits for the answer; the run continues after it.
 
         Raises
         ------
         IdempotencyError
-            The key is taken, or its outcome is not known.
+            The key cannot be claimed, or the outcome of its run is not known.
         EndpointError, RefusedError
-            The run failed; `run` tells how far it came.
+            The run failed; `run` says whether the request may have run.
         """
         match self._claim(request):
             case Granted():
@@ -123,16 +130,16 @@
                 raise _make_claim_error(request, other)
 
     def check_backlog(self) -> None:
-        """Refuse new work while too much of the old is not settled."""
+        """Refuse new requests while too many ledger commands are unconfirmed."""
         if self.unconfirmed_commands >= MAX_UNCONFIRMED_COMMANDS:
             raise RefusedError(
-                "too many claims and bills are not settled yet",
+                "too many claims and bills are waiting to be committed",
                 Code.LEDGER_UNAVAILABLE,
                 retry_after=5.0,
             )
 
     def abandon(self, instance: InstanceId, before: Incarnation) -> None:
-        """Mark what an earlier start of this instance had claimed as unknown."""
+        """Mark claims held by earlier starts of this instance as unknown."""
         self.submit_in_background(Abandon(instance, Incarnation(before - 1)))
 
     def _claim(self, request: KeyedRequest) -> ClaimAnswer:
@@ -163,7 +170,7 @@
             return outcome.get(timeout=wait_seconds)
         except Timeout as error:
             raise IdempotencyError(
-                f"no answer within {wait_seconds} s; the run goes on",
+                f"no answer within {wait_seconds} s; the request is still running",
                 Code.OUTCOME_UNKNOWN,
                 Run.MAY_HAVE_RUN,
                 retry_after=wait_seconds,
@@ -213,7 +220,7 @@
         self.submit_in_background(self._make_finish(request, None))
 
     def submit_in_background(self, command: LedgerCommand) -> None:
-        """Submit a command until the ledger confirms it."""
+        """Submit a command in a greenlet, repeatedly until the ledger confirms it."""
         spawn(self._submit_until_confirmed, encode_command(command))
 
     def _submit_until_confirmed(self, command: bytes) -> None:
@@ -249,41 +256,41 @@
     match answer:
         case Held():
             return IdempotencyError(
-                f"key {key}: another request with it is running",
+                f"key {key}: a request with this key is already running",
                 Code.IN_PROGRESS,
                 Run.MAY_HAVE_RUN,
                 retry_after=1.0,
             )
         case Unknown():
             return IdempotencyError(
-                f"key {key}: it is not known whether it ran",
+                f"key {key}: it is not known whether its request ran",
                 Code.OUTCOME_UNKNOWN,
                 Run.MAY_HAVE_RUN,
             )
         case Expired():
             return IdempotencyError(
-                f"key {key}: too old to tell whether it ran",
+                f"key {key}: too old to tell whether its request ran",
                 Code.KEY_EXPIRED,
                 Run.MAY_HAVE_RUN,
             )
         case Conflict():
-            return IdempotencyError(f"key {key}: used for another request")
+            return IdempotencyError(f"key {key}: already used for a different request")
         case Full() | Released() | Refused():
             return IdempotencyError(
-                f"key {key}: the ledger cannot take it now",
+                f"key {key}: the ledger cannot accept the claim now",
                 Code.LEDGER_UNAVAILABLE,
                 retry_after=1.0,
             )
         case _:
             return IdempotencyError(
-                f"key {key}: it ran but its answer is not kept",
+                f"key {key}: its request ran but the answer is not stored",
                 Code.ANSWER_NOT_KEPT,
                 Run.RAN,
             )
 
 
 def _convert_error(error: BergamotwoodError) -> BergamotwoodError:
-    """Give a failed run the code of an unknown outcome, unless it never ran."""
+    """Convert an endpoint error to an unknown outcome if the request may have run."""
     if error.run is not Run.MAY_HAVE_RUN or not isinstance(error, EndpointError):
         return error
     return IdempotencyError(error.detail, Code.OUTCOME_UNKNOWN, Run.MAY_HAVE_RUN)
--- a/packages/daemon/src/bergamotwood_daemon/completion.py
+++ b/packages/daemon/src/bergamotwood_daemon/completion.py
@@ -1,4 +1,4 @@
-"""Chat answers as callers get them: events, or one completion."""
+"""Encodes chat answers for callers, as events or as one completion."""
 
 from dataclasses import dataclass
 from time import time
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Receipt:
-    """What a caller is told about its answer, besides the text."""
+    """Version, cost and session of an answer, sent to the caller with its text."""
 
     version: str
     cost: float
@@ -27,9 +27,9 @@
     Parameters
     ----------
     request : RequestId
-        Id of the answer.
+        Id of the request, and of its answer.
     version : str
-        What answered.
+        The version that answers.
     """
 
     def __init__(self, request: RequestId, version: str) -> None:
@@ -123,7 +123,7 @@
 
 
 def _merge_tool_calls(calls: list[dict[str, Any]], pieces: list[Any]) -> None:
-    """Join the pieces of tool calls: arguments grow, other fields are set once."""
+    """Merge parts of tool calls: arguments are appended, other fields replaced."""
     for piece in pieces:
         index = piece.get("index", 0)
         while len(calls) <= index:
--- a/packages/daemon/src/bergamotwood_daemon/crashes.py
+++ b/packages/daemon/src/bergamotwood_daemon/crashes.py
@@ -1,4 +1,4 @@
-"""Endpoints that crash under a request, and requests under suspicion of it."""
+"""Detects endpoint crashes and isolates the requests suspected of causing them."""
 
 from dataclasses import dataclass
 
@@ -48,9 +48,9 @@
     Parameters
     ----------
     endpoint, incarnation : EndpointId, Incarnation
-        Where it ran.
+        The endpoint that ran it.
     answered : bool
-        Whether its first token had come.
+        Whether its first token had arrived.
     """
 
     endpoint: EndpointId
@@ -59,12 +59,12 @@
 
 
 def wait_for_clearance(entry: Entry, context: RequestContext) -> None:
-    """Keep a suspect waiting until it may run; other requests pass at once.
+    """Wait until a suspect may run; return at once for other requests.
 
     Raises
     ------
     RefusedError
-        The request is quarantined, or its deadline comes first.
+        The request is quarantined, or would have to wait past its deadline.
     """
     while True:
         suspects = entry.tables.configuration.suspects
@@ -86,7 +86,7 @@
             case WaitFor(seconds):
                 if now + seconds >= context.deadline:
                     raise RefusedError(
-                        "a request under suspicion waits for another's retry",
+                        "a suspected request must wait for the result of a retry",
                         Code.DEADLINE_EXCEEDED,
                         retry_after=seconds,
                     )
@@ -96,7 +96,7 @@
 def list_avoided_endpoints(
     entry: Entry, context: RequestContext, target: Target
 ) -> frozenset[EndpointId]:
-    """List the endpoints that a suspect must not use, so that suspects run apart."""
+    """List the endpoints to avoid, so that no two suspects run on the same one."""
     if not context.is_suspect:
         return frozenset()
     suspects = entry.tables.configuration.suspects
@@ -118,7 +118,10 @@
 def handle_broken_attempt(
     entry: Entry, context: RequestContext, broken: BrokenAttempt
 ) -> None:
-    """Find out whether an endpoint crashed, and record it.
+    """Determine whether an endpoint crashed, and record the crash.
+
+    An endpoint that accepts connections is checked again later, since it may have
+    crashed and restarted.
 
     Raises
     ------
@@ -135,7 +138,7 @@
 
 
 def record_completion(entry: Entry, context: RequestContext) -> None:
-    """Remember that a request ran to its end, which clears a suspect."""
+    """Record that a request ran to its end, which clears a suspect."""
     entry.finished_requests.add(context.fingerprint)
     if context.is_suspect:
         spawn(_clear_suspect, entry, context)
@@ -149,7 +152,7 @@
 
 
 def _probe(entry: Entry, broken: BrokenAttempt) -> bool:
-    """Whether a new connection to the endpoint can be made."""
+    """Whether the endpoint accepts a new connection."""
     endpoint = entry.tables.directory.endpoints.get(broken.endpoint)
     if endpoint is None:
         return False
@@ -169,25 +172,25 @@
     broken: BrokenAttempt,
     failure: AttemptFailure,
 ) -> None:
-    """See later whether the endpoint had in fact crashed and come back."""
+    """Check after a delay whether the endpoint crashed and restarted."""
     sleep(CRASH_RECHECK_DELAY_SECONDS)
     if not is_crash(failure, _has_restarted(entry, broken), False):
         return
     try:
         _record_crash(entry, context, broken)
     except EndpointError as error:
-        log_event("quarantine", "Crash not recorded.", detail=error.detail)
+        log_event("quarantine", "Crash could not be recorded.", detail=error.detail)
 
 
 def _record_crash(entry: Entry, context: RequestContext, broken: BrokenAttempt) -> None:
     if context.fingerprint in entry.finished_requests:
-        # It ran to its end before, so that the crash is another's.
+        # A request that completed before is not the cause of this crash.
         return
     context.is_suspect = True
     context.suspected_at = Seconds(entry.clock())
     log_event(
         "quarantine",
-        "Endpoint crashed under a request.",
+        "Endpoint crashed while running a request.",
         endpoint=broken.endpoint,
         fingerprint=context.fingerprint,
         request=context.id,
@@ -211,4 +214,4 @@
     try:
         entry.control.propose(command, RECORD_CRASH_TIMEOUT_SECONDS)
     except ReplicationError as error:
-        log_event("quarantine", "Suspect not cleared.", detail=error.detail)
+        log_event("quarantine", "Suspect could not be cleared.", detail=error.detail)
--- a/packages/daemon/src/bergamotwood_daemon/endpointcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/endpointcall.py
@@ -1,4 +1,4 @@
-"""One HTTP call to an endpoint, on a connection of its own."""
+"""HTTP calls to endpoints, each on its own connection."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 
 
 class _Response(HTTPResponse):
-    """A response whose body is taken out piece by piece."""
+    """A response parser that returns the body as it arrives."""
 
     def __init__(self, method: str) -> None:
         super().__init__(method=method)
@@ -43,14 +43,14 @@
 
 
 class EndpointCall:
-    """A call on a newly dialled connection, never sent twice.
+    """An HTTP call on a new connection, sent at most once.
 
     Parameters
     ----------
     address : Address
-        The endpoint.
+        Address of the endpoint.
     method, path : str
-        Request line.
+        HTTP method and request target.
     headers : tuple of Header
         Header fields besides host, length and connection.
     body : bytes
@@ -73,12 +73,12 @@
         self.dispatched = False
 
     def dial(self, timeout_seconds: float) -> None:
-        """Connect.
+        """Connect to the endpoint.
 
         Raises
         ------
         EndpointError
-            With `run` not_run, since nothing was written.
+            The connection failed; `run` is NOT_RUN, since nothing was sent.
         """
         target = (self._address.host, self._address.port)
         try:
@@ -97,7 +97,7 @@
             self._socket.sendall(self._head + self._body)
         except OSError as error:
             raise EndpointError(
-                f"{self._address} closed the connection: {error}"
+                f"{self._address}: sending the request failed: {error}"
             ) from error
         while not self._response.headers_complete:
             self._receive()
@@ -113,12 +113,12 @@
         return str(self._response.get("content-type") or "application/octet-stream")
 
     def read(self, timeout_seconds: float) -> bytes:
-        """Return the next piece of the body; empty at its checked end.
+        """Return the next part of the body, or empty bytes once it is complete.
 
         Raises
         ------
         EndpointError
-            The connection broke or stayed silent.
+            The connection broke, or no data arrived in time.
         """
         self._socket.settimeout(timeout_seconds)
         while True:
@@ -160,7 +160,8 @@
                     yield event[len(EVENT_PREFIX) :].strip()
             if len(buffered) > MAX_EVENT_BYTES:
                 raise EndpointError(
-                    f"{self._address}: event too large", Code.STREAM_BROKEN
+                    f"{self._address}: event larger than {MAX_EVENT_BYTES} bytes",
+                    Code.STREAM_BROKEN,
                 )
 
     def close(self) -> None:
@@ -170,21 +171,23 @@
 
     def _receive(self) -> None:
         try:
-            # Waiting first spares the call that would find nothing to read.
+            # Waiting first avoids a recv call that would find no data.
             wait_read(self._socket.fileno(), self._socket.gettimeout())
             data = self._socket.recv(RECEIVE_BYTES)
         except timeout as error:
             raise EndpointError(
-                f"{self._address} stayed silent", Code.STREAM_SILENT
+                f"{self._address}: no data before the time-out", Code.STREAM_SILENT
             ) from error
         except OSError as error:
             raise self._make_broken_error(str(error)) from error
         if not data and not self._ends_with_connection():
-            raise self._make_broken_error("closed early")
+            raise self._make_broken_error(
+                "connection closed before the end of the response"
+            )
         try:
             self._response.feed(data)
         except HTTPParseError as error:
-            raise self._make_broken_error(f"not HTTP: {error}") from error
+            raise self._make_broken_error(f"invalid HTTP response: {error}") from error
 
     def _ends_with_connection(self) -> bool:
         return (
--- a/packages/daemon/src/bergamotwood_daemon/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/entry.py
@@ -1,4 +1,4 @@
-"""What the parts of an entry share: tables, policies and ways to the leaders."""
+"""State that the parts of an entry share, and the context of each request."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -35,34 +35,34 @@
 
 @dataclass
 class Entry:
-    """One entry instance at work.
+    """Shared state of one entry.
 
     Parameters
     ----------
     settings : Settings
-        Of this daemon.
+        Settings of this daemon.
     clock : callable
-        Gives the time.
+        Returns the current time.
     rng : Random
-        Source of draws and jitter.
+        Source of random choices and jitter.
     tables : Tables
         Configuration, directory and requests in flight.
     watch : Watch
-        Its view of the control log.
+        Follows the control log.
     control, ledger : Proposer
-        Ways to the leaders.
+        Submit commands and queries to the leaders of the two log groups.
     claims : Claims
-        Non-idempotent requests.
+        Runs non-idempotent requests at most once.
     policy : CascadePolicy
         Plans cascades.
     admission : AdmissionController
-        Fair shares and shedding.
+        Shares slots fairly and sheds excess requests.
     outcomes : OutcomeCounter
-        Evidence on roll-outs.
+        Counts outcomes as evidence on roll-outs.
     tracer : Tracer
         Source of spans.
     incarnation : int
-        Tells the starts of this daemon apart.
+        Distinguishes the starts of this daemon.
     """
 
     settings: Settings
@@ -93,7 +93,7 @@
         return self.settings.session_secret.encode()
 
     def make_request_id(self) -> RequestId:
-        """Make an id that no other entry or start makes."""
+        """Make a request id that is unique across entries and their starts."""
         self.sequence += 1
         return make_request_id(
             InstanceId(self.settings.instance),
@@ -102,48 +102,49 @@
         )
 
     def measure_config_age(self) -> Seconds:
-        """Age of the configuration in force, in seconds."""
+        """Return the age of the current configuration, in seconds."""
         return Seconds(self.watch.measure_age(self.clock()))
 
 
 @dataclass
 class RequestContext:
-    """A caller's request on its way through an entry.
+    """State of a caller's request while an entry handles it.
 
     Parameters
     ----------
     id : RequestId
-        Made by the entry.
+        Unique id, made by the entry.
     workspace : Workspace
-        Whose request, as it was when admitted.
+        The caller's workspace, as configured when the request arrived.
     fingerprint : Fingerprint
-        Same for a resend, whatever its key.
+        Hash of the request; a resend has the same one, whatever its key.
     deadline : Seconds
-        When the caller stops waiting.
+        Time at which the caller stops waiting.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     priority : Priority
-        Passed on to engines.
+        Priority in the admission queue, also forwarded to engines.
     prefix_hash : int or None
         Hash of the start of the prompt.
     session : SessionId or None
-        Session that the caller named.
+        Session that the caller named, or that was made for the answer.
     trace : Trace
         Spans of the request.
     attempts : list of Attempt
-        What was dispatched, for the bill.
+        Attempts that the bill lists.
     excluded : set of EndpointId
-        Endpoints that failed it.
+        Endpoints that failed or refused the request.
     running : set of EndpointId
-        Endpoints that run it now, which a hedge avoids.
+        Endpoints that run the request now, which a hedge avoids.
     retryable : bool
-        False once a crash under it could not be recorded.
+        False once an endpoint's crash could not be recorded.
     is_suspect : bool
-        Whether an endpoint crashed under it, here or elsewhere.
+        Whether an endpoint crashed while it ran the request, at any entry.
     suspected_at : Seconds or None
-        Since when this entry knows.
+        Time at which this entry last learned of such a crash.
     reported_crash_first : bool
-        Whether this entry recorded the newest crash, so that it retries first.
+        Whether this entry was the first to record the latest crash, so that it
+        retries first.
     prefix_tokens : int or None
         Estimated size of the prompt.
     """
--- a/packages/daemon/src/bergamotwood_daemon/hedging.py
+++ b/packages/daemon/src/bergamotwood_daemon/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt for a short idempotent call that is late."""
+"""Hedged requests: a second attempt when a short idempotent call is slow."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -16,16 +16,17 @@
     budget: HedgeBudget,
     clock: Callable[[], Seconds],
 ) -> Answer:
-    """Run an attempt, and a second one when the first is late.
+    """Run an attempt, and a second one if the first does not answer in time.
 
     Parameters
     ----------
     attempt : callable
-        Runs one attempt; the losing one is killed, which must cancel it.
+        Runs one attempt. The greenlet of the slower one is killed, which must cancel
+        its request.
     budget : HedgeBudget
-        When a call is late, and whether a second attempt may be made.
+        Sets the delay before a second attempt, and limits their number.
     clock : callable
-        Gives the time.
+        Returns the current time.
 
     Returns
     -------
@@ -49,7 +50,7 @@
 
 
 def _wait_for_first_answer(running: list[Greenlet]) -> Answer:
-    """Return the first answer and cancel whoever has not ended."""
+    """Return the first answer, and kill the attempts that are still running."""
     pending = list(running)
     try:
         while pending:
--- a/packages/daemon/src/bergamotwood_daemon/operations.py
+++ b/packages/daemon/src/bergamotwood_daemon/operations.py
@@ -1,4 +1,4 @@
-"""HTTP for operators: tickets, status, bills and claims."""
+"""HTTP handlers for operators: tickets, status, bills and claims."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -55,8 +55,8 @@
 class StatusView(Struct):
     """State of one instance and what it knows of the others.
 
-    `voting` tells whether its replica counts for majorities, which a replica
-    with a new disk does once it has caught up; none without the control role.
+    `voting` says whether the instance's replica counts towards majorities. A replica
+    with a new disk counts once it has caught up. None without the control role.
     """
 
     instance: str
@@ -75,26 +75,26 @@
 
 @dataclass(frozen=True)
 class Operations:
-    """Answers to operators at one entry.
+    """Answers the requests of operators at one instance.
 
     Parameters
     ----------
     settings : Settings
-        Of this daemon.
+        Settings of this daemon.
     tables : Tables
-        Its tables.
+        Configuration, directory and requests in flight.
     watch : Watch
-        Its view of the control log.
+        Follows the control log.
     control, ledger : Proposer
-        Ways to the leaders.
+        Submit commands and queries to the leaders of the two log groups.
     clock : callable
-        Gives the time.
+        Returns the current time.
     drain : callable
         Begins a graceful shutdown.
     is_draining : callable
-        Whether one has begun.
+        Returns whether a graceful shutdown has begun.
     is_voting : callable
-        Whether the instance's replica votes; None without the control role.
+        Returns whether the instance's replica votes; None without the control role.
     """
 
     settings: Settings
@@ -108,7 +108,7 @@
     is_voting: Callable[[], bool | None]
 
     def apply_ticket(self, request: WebRequest) -> Response:
-        """Submit a ticket; a resend gets the first answer again."""
+        """Submit a ticket; a resend gets the answer to the first submission."""
         ticket = parse_ticket(request.read_body())
         operator = request.read_header("bergamotwood-operator") or "operator"
         command = ApplyTicket(ticket.model_dump_json().encode(), operator[:64])
@@ -119,14 +119,14 @@
         return answer_json(answer, 201 if created else 200)
 
     def check_ticket(self, request: WebRequest) -> Response:
-        """Say what a ticket would change, and its faults."""
+        """Return the changes that a ticket would make, and its faults."""
         ticket = parse_ticket(request.read_body())
         faults = check_ticket(self.tables.configuration, ticket)
         changes = diff_ticket(self.tables.configuration, ticket)
         return answer_json({"faults": faults, "changes": changes})
 
     def show_ticket(self, request: WebRequest, number: str) -> Response:
-        """Say what became of a ticket."""
+        """Return the outcome of a ticket."""
         if not number.isdecimal():
             raise RequestError(f"ticket: not a number: {number!r:.40}")
         reply = self.control.query(FindTicket(int(number)), QUERY_TIMEOUT_SECONDS)
@@ -145,7 +145,7 @@
         )
 
     def show_configuration(self, request: WebRequest) -> Response:
-        """Give the configuration in force at this entry."""
+        """Return the current configuration of this instance."""
         tables = self.tables.configuration
         document = {
             "index": self.watch.applied,
@@ -161,7 +161,7 @@
         return answer_json(document)
 
     def show_status(self, request: WebRequest) -> Response:
-        """Give the state of this instance."""
+        """Return the state of this instance."""
         age = self.watch.measure_age(self.clock())
         view = StatusView(
             instance=self.settings.instance,
@@ -204,18 +204,18 @@
         )
 
     def show_bill(self, request: WebRequest, id: str) -> Response:
-        """Give the bill of a request."""
+        """Return the bill of a request."""
         reply = self.ledger.query(FindBill(id), QUERY_TIMEOUT_SECONDS)
         if reply == b"null":
             raise RequestError(f"bill of {id}: not found", Code.UNKNOWN_PATH)
         return _forward_json(reply)
 
     def list_totals(self, request: WebRequest) -> Response:
-        """Give the billed total of each workspace."""
+        """Return the billed total of each workspace."""
         return _forward_json(self.ledger.query(ListTotals(), QUERY_TIMEOUT_SECONDS))
 
     def show_claim(self, request: WebRequest, workspace: str, key: str) -> Response:
-        """Give the state of an idempotency key."""
+        """Return the state of an idempotency key."""
         query = FindClaim(WorkspaceId(workspace), key)
         reply = self.ledger.query(query, QUERY_TIMEOUT_SECONDS)
         if reply == b"null":
--- a/packages/daemon/src/bergamotwood_daemon/ratings.py
+++ b/packages/daemon/src/bergamotwood_daemon/ratings.py
@@ -1,4 +1,4 @@
-"""The rating service: how well an answer did, as a score from 0 to 1."""
+"""Client of the rating service, which scores answers from 0 to 1."""
 
 from msgspec import DecodeError, Struct, ValidationError, json
 
@@ -34,7 +34,7 @@
     Parameters
     ----------
     address : SocketAddress or None
-        Where the service is; None where the site has none.
+        Address of the service; None if there is no rating service.
     """
 
     def __init__(self, address: SocketAddress | None) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/routes.py
+++ b/packages/daemon/src/bergamotwood_daemon/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the HTTP interface, and the WSGI application over them."""
+"""Routes of the HTTP interface, and the WSGI application that serves them."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -20,24 +20,24 @@
 
 Handler = Callable[..., Response]
 ANY_METHOD = "*"
-# Codes of refusals that another entry may not give.
+# Refusals that another entry might not give, so callers get other addresses.
 RETRY_ELSEWHERE_CODES = (Code.CONFIG_STALE, Code.LEDGER_UNAVAILABLE, Code.OVERLOADED)
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One method and path, with the handler and the check before it.
+    """A method and path pattern, with its handler and authorization check.
 
     Parameters
     ----------
     method : str
         HTTP method, or `*` for any.
     pattern : Pattern
-        Whole path; its groups are arguments of the handler.
+        Matches the whole path; its groups are passed to the handler.
     handler : callable
-        Takes the request and the groups.
+        Takes the request and the groups of the pattern.
     guard : callable or None
-        Checks the caller's key first.
+        Checks the caller's key before the handler runs.
     """
 
     method: str
@@ -52,7 +52,7 @@
     handler: Handler,
     guard: Callable[[WebRequest], None] | None = None,
 ) -> Route:
-    """Make a route from the text of its pattern."""
+    """Make a route, compiling its path pattern."""
     return Route(method, compile_pattern(pattern), handler, guard)
 
 
@@ -62,11 +62,11 @@
     Parameters
     ----------
     routes : tuple of Route
-        Tried in order.
+        Routes, tried in order.
     limits : Limits
         Bounds on requests.
     list_other_entries : callable
-        Addresses of other entries, told to callers that this one cannot serve.
+        Returns the addresses of other entries, for callers that this one cannot serve.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request; it is active until its body is closed."""
+        """Answer one request, which counts as active until its body is closed."""
         self.active += 1
         response = self._answer(environ)
         pieces = send_response(response, start_response, self.draining)
@@ -122,6 +122,7 @@
             return route.handler(request, *match.groups())
         if known_path:
             raise RequestError(
-                f"{request.path}: not with {request.method}", Code.METHOD_NOT_ALLOWED
+                f"{request.path}: method {request.method} not allowed",
+                Code.METHOD_NOT_ALLOWED,
             )
         raise RequestError(f"{request.path:.200}: no such path", Code.UNKNOWN_PATH)
--- a/packages/daemon/src/bergamotwood_daemon/services.py
+++ b/packages/daemon/src/bergamotwood_daemon/services.py
@@ -1,4 +1,4 @@
-"""`ANY /v1/services/{service}/{path}`: plain services behind the router."""
+"""Handles `ANY /v1/services/{service}/{path}`, for plain services behind the router."""
 
 from dataclasses import dataclass
 from urllib.parse import quote
@@ -39,27 +39,27 @@
 
 # Methods that RFC 9110 defines as safe.
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-# Characters that RFC 3986 allows in a path as they are.
+# Characters that RFC 3986 allows unescaped in a path.
 PATH_CHARACTERS = "/:@!$&'()*+,;=-._~"
 FORWARDED_HEADERS = ("content-type", "accept", "accept-language")
 
 
 @dataclass(frozen=True)
 class ServiceCall:
-    """A checked request for a plain service.
+    """A validated request for a plain service.
 
     Parameters
     ----------
     context : RequestContext
-        Its way through the entry.
+        State of the request at the entry.
     service : Service
-        What it is for.
-    outgoing : Outgoing
-        What the endpoint gets.
+        The requested service.
+    outgoing : OutgoingRequest
+        Request to send to the endpoint.
     key : IdempotencyKey or None
-        Chosen by the caller.
+        Idempotency key of the caller.
     digest : str
-        Tells another request with the same key.
+        Digest that detects a different request with the same key.
     """
 
     context: RequestContext
@@ -70,14 +70,14 @@
 
 
 class ServiceHandler:
-    """Requests for plain services at one entry.
+    """Answers the requests for plain services at one entry.
 
     Parameters
     ----------
     entry : Entry
-        Tables, policies and ways to the leaders.
+        Shared state of the entry.
     admission_gate : AdmissionGate
-        Waiting for a slot.
+        Makes requests wait for a slot.
     """
 
     def __init__(self, entry: Entry, admission_gate: AdmissionGate) -> None:
@@ -89,7 +89,7 @@
         call = self._read_call(request, name, path)
         if not call.context.idempotent and call.key is None:
             raise RequestError(
-                "idempotency-key: needed for a non-idempotent request",
+                "idempotency-key: required for a non-idempotent request",
                 Code.KEY_REQUIRED,
             )
         self._admission_gate.acquire(call.context, call.service.name)
@@ -138,7 +138,7 @@
         if key is not None:
             headers.append(Header("Idempotency-Key", key))
         query = request.environ.get("QUERY_STRING", "")
-        # The server has decoded the path, so that it may hold any character.
+        # The WSGI server has decoded the path, so it may hold any character.
         quoted = "/" + quote(path.encode("latin-1"), safe=PATH_CHARACTERS)
         target = f"{quoted}?{query}" if query else quoted
         timeouts = self._entry.settings.timeouts
@@ -187,7 +187,7 @@
         try:
             return self._entry.claims.run_once(keyed, dispatch, timeouts.call)
         finally:
-            # A run may go on after its caller was answered; it leaves by itself.
+            # A dispatched run may outlast its caller; it releases its slot itself.
             if not dispatched:
                 self._admission_gate.release(call.context)
 
--- a/packages/daemon/src/bergamotwood_daemon/tracing.py
+++ b/packages/daemon/src/bergamotwood_daemon/tracing.py
@@ -50,7 +50,7 @@
 
 
 def make_tracer_provider(instance: str, path: Path | None) -> TracerProvider:
-    """Make the source of spans; without a file they are not kept."""
+    """Make the tracer provider; without a file, spans are not exported."""
     resource = Resource(
         {"service.name": "bergamotwood", "service.instance.id": instance}
     )
@@ -68,9 +68,9 @@
     tracer : Tracer
         Source of spans.
     request : WebRequest
-        Whose headers may name the caller's trace.
+        The request, whose header fields may name the caller's trace.
     name : str
-        Name of the first span.
+        Name of the root span.
     """
 
     def __init__(self, tracer: Tracer, request: WebRequest, name: str) -> None:
@@ -84,21 +84,21 @@
         self._context = set_span_in_context(self._root, Context())
 
     def annotate(self, **attributes: str | int | float | bool) -> None:
-        """Add attributes to the first span."""
+        """Add attributes to the root span."""
         self._root.set_attributes(attributes)
 
     def start_span(self, name: str, **attributes: str | int | float | bool) -> Span:
-        """Begin a span below the first one; its user ends it."""
+        """Start a child of the root span; the caller ends it."""
         return self._tracer.start_span(name, self._context, attributes=attributes)
 
     def end(self) -> None:
-        """End the first span; a second call changes nothing."""
+        """End the root span; a second call has no effect."""
         if self._root.is_recording():
             self._root.end()
 
 
 def format_parent(span: Span) -> str:
-    """Return the trace context that makes a span the parent of the next hop."""
+    """Return the trace context that makes a span the parent in the next hop."""
     carrier: dict[str, str] = {}
     _PROPAGATOR.inject(carrier, set_span_in_context(span, Context()))
     return carrier.get(TRACE_PARENT, "")
--- a/packages/daemon/src/bergamotwood_daemon/web.py
+++ b/packages/daemon/src/bergamotwood_daemon/web.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers: reading requests, answering, and problem documents."""
+"""HTTP requests and responses of callers, and problem documents."""
 
 from collections.abc import Callable, Generator, Iterable, Iterator
 from dataclasses import dataclass, field
@@ -47,7 +47,7 @@
     environ : dict
         The WSGI environment.
     limits : Limits
-        Bounds on the body.
+        Limits on the size of the body and the time to receive it.
     """
 
     environ: Environ
@@ -98,7 +98,7 @@
         Raises
         ------
         RequestError
-            The body is too large, cut off or too slow.
+            The body is too large, incomplete or too slow.
         """
         if self._body is None:
             self._body = self._read_body()
@@ -130,25 +130,29 @@
                 Code.SENDER_TOO_SLOW,
             ) from error
         except OSError as error:
-            raise RequestError("body: cut off", Code.BODY_INCOMPLETE) from error
+            raise RequestError(
+                "body: the connection failed before its end", Code.BODY_INCOMPLETE
+            ) from error
         if len(body) > maximum:
             raise RequestError(
                 f"body: larger than {maximum} bytes", Code.BODY_TOO_LARGE
             )
         if declared.isdecimal() and len(body) < int(declared):
-            raise RequestError("body: cut off", Code.BODY_INCOMPLETE)
+            raise RequestError(
+                f"body: received {len(body)} of {declared} bytes", Code.BODY_INCOMPLETE
+            )
         return body
 
 
 class ClosingBody:
-    """Body pieces with a step that follows however the body ends.
+    """A response body with a callback for when it is closed.
 
     Parameters
     ----------
     pieces : iterable of bytes
         The body.
     on_close : callable
-        Called once, also when no piece was ever taken.
+        Called once, even if the body was never read.
     """
 
     def __init__(self, pieces: Iterable[bytes], on_close: Callable[[], None]) -> None:
@@ -160,7 +164,7 @@
         return iter(self._pieces)
 
     def close(self) -> None:
-        """End the body; a second call changes nothing."""
+        """Close the body; a second call has no effect."""
         if not self._is_open:
             return
         self._is_open = False
@@ -198,7 +202,7 @@
         "detail": error.detail,
         "code": int(error.code),
         "run": str(error.run),
-        # Where clients of the OpenAI form look for the reason.
+        # Clients of OpenAI-compatible interfaces read the reason here.
         "error": {"message": error.detail, "code": int(error.code)},
     }
     if request_id:
@@ -215,7 +219,7 @@
 def send_response(
     response: Response, start_response: StartResponse, close_connection: bool
 ) -> Iterable[bytes]:
-    """Give a response to the WSGI server; the last one closes its connection."""
+    """Pass a response to the WSGI server, which may close the connection after it."""
     phrase = HTTPStatus(response.status).phrase
     headers = [("Content-Type", response.content_type), *response.headers]
     if isinstance(response.body, list):
--- a/tests/daemon/test_claims.py
+++ b/tests/daemon/test_claims.py
@@ -19,7 +19,7 @@
 
 
 class FakeLedger:
-    """A ledger machine whose next commits can fail, applied or not."""
+    """A ledger whose next proposals can fail, before or after they are applied."""
 
     def __init__(self):
         self.machine = LedgerMachine()
@@ -40,7 +40,7 @@
 
 
 class SharedKey:
-    """One key at entries that share a ledger; counts dispatches."""
+    """Runs requests with one key at entries that share a ledger; counts the runs."""
 
     def __init__(self):
         self.ledger = FakeLedger()
--- a/tests/daemon/test_endpointcall.py
+++ b/tests/daemon/test_endpointcall.py
@@ -11,7 +11,7 @@
 
 
 class RawServer:
-    """Answers each connection with fixed bytes, then closes or stays silent."""
+    """Answers each connection with fixed bytes, then closes it or keeps it open."""
 
     def __init__(self, answer, keep_open=False):
         self.connections = 0
--- a/tests/daemon/test_hedging.py
+++ b/tests/daemon/test_hedging.py
@@ -9,7 +9,7 @@
 
 
 class Attempts:
-    """Attempts that end as the test says: an answer, an error, or never."""
+    """Attempts with given outcomes: an answer, an error, or None to never end."""
 
     def __init__(self, *outcomes):
         self.outcomes = list(outcomes)
