--- a/packages/daemon/src/bergamotwood_daemon/answer.py
+++ b/packages/daemon/src/bergamotwood_daemon/answer.py
@@ -147,10 +147,10 @@
         self._check_status(attempt)
         timeouts = self._entry.settings.timeouts
         events = attempt.call.read_events(timeouts.first_chunk, timeouts.next_chunk)
-        done = False
+        end_marker_seen = False
         for event in events:
             if event == DONE:
-                done = True
+                end_marker_seen = True
                 break
             if self._entry.clock() >= self._context.deadline:
                 raise EndpointError(
@@ -160,7 +160,7 @@
             for chunk in self._assembler.accept(_decode_chunk(event)):
                 self._mark_first_token(attempt)
                 yield chunk
-        self._assembler.finish(done)
+        self._assembler.finish(end_marker_seen)
         self._record_attempt(attempt, "answered")
         attempt.succeed()
 
@@ -182,15 +182,15 @@
             self.first_token_seconds = self._entry.clock() - self.started_at
 
     def _record_attempt(self, attempt: OpenAttempt, outcome: str) -> None:
-        whole = outcome == "answered"
-        usage = self.usage if whole else Usage(0, self._assembler.tokens)
+        is_complete = outcome == "answered"
+        usage = self.usage if is_complete else Usage(0, self._assembler.tokens)
         self._context.attempts.append(
             Attempt(
                 self.version.id,
                 attempt.endpoint_id,
                 usage.prompt_tokens,
                 usage.completion_tokens,
-                self.cost if whole else 0.0,
+                self.cost if is_complete else 0.0,
                 outcome,
             )
         )
--- a/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -124,11 +124,11 @@
     def record_answer(self, call: ChatCall, returned: StepAnswer) -> None:
         """Update the estimates with an answer that the caller receives in full."""
         answer = returned.answer
-        first = answer.first_token_seconds or 0.0
+        first_token_seconds = answer.first_token_seconds or 0.0
         usage = Usage(
             answer.usage.prompt_tokens,
             answer.usage.completion_tokens,
-            first,
+            first_token_seconds,
             self._entry.clock() - answer.started_at,
         )
         version = answer.version.version_id
@@ -137,7 +137,7 @@
         policy.record_returned_answer(
             call.context.workspace, returned.key, returned.score
         )
-        self._entry.outcomes.count_outcome(Outcome(version, False, first))
+        self._entry.outcomes.count_outcome(Outcome(version, False, first_token_seconds))
 
     def count_failure(self, failed: StepAnswer, error: BergamotwoodError) -> None:
         """Count an endpoint's failure in the outcomes of its version."""
@@ -204,14 +204,14 @@
     def _request_rating(
         self, call: ChatCall, rated: StepAnswer, text: str
     ) -> float | None:
-        rating = RatingRequest(
+        request = RatingRequest(
             call.context.id,
             call.context.workspace.name,
             call.request_class,
             rated.answer.version.id,
             text,
         )
-        score = self._ratings.rate(rating)
+        score = self._ratings.rate(request)
         if score is None:
             self._entry.policy.record_refusal(self._entry.clock())
         return score
--- a/packages/daemon/src/bergamotwood_daemon/chat.py
+++ b/packages/daemon/src/bergamotwood_daemon/chat.py
@@ -123,19 +123,19 @@
 
     def _collect(self, call: ChatCall, step_answer: StepAnswer) -> bytes:
         try:
-            whole = list(step_answer.chunks)
+            chunks = list(step_answer.chunks)
         except BergamotwoodError as error:
             self._cascade_runner.count_failure(step_answer, error)
             raise
         receipt = self._commit_bill(call, step_answer)
-        self._cascade_runner.sample_for_rating(call, step_answer, join_text(whole))
+        self._cascade_runner.sample_for_rating(call, step_answer, join_text(chunks))
         return encode_completion(
-            call.context.id, whole, step_answer.answer.usage, receipt
+            call.context.id, chunks, step_answer.answer.usage, receipt
         )
 
     def _answer_once(self, call: ChatCall, plan: CascadePlan) -> Response:
         """Run a non-idempotent request on one version, at most once."""
-        keyed = KeyedRequest(
+        keyed_request = KeyedRequest(
             call.context.workspace.key, call.key, call.digest, call.context.id
         )
         dispatched = False
@@ -158,7 +158,7 @@
 
         try:
             stored = self._entry.claims.run_once(
-                keyed, dispatch, self._entry.settings.timeouts.request
+                keyed_request, dispatch, self._entry.settings.timeouts.request
             )
         finally:
             # A dispatched run may outlast its caller; it releases its slot itself.
--- a/packages/daemon/src/bergamotwood_daemon/claims.py
+++ b/packages/daemon/src/bergamotwood_daemon/claims.py
@@ -138,9 +138,11 @@
                 retry_after=5.0,
             )
 
-    def abandon(self, instance: InstanceId, before: Incarnation) -> None:
+    def abandon_earlier_claims(
+        self, instance: InstanceId, incarnation: Incarnation
+    ) -> None:
         """Mark claims held by earlier starts of this instance as unknown."""
-        self.submit_in_background(Abandon(instance, Incarnation(before - 1)))
+        self.submit_in_background(Abandon(instance, Incarnation(incarnation - 1)))
 
     def _claim(self, request: KeyedRequest) -> ClaimAnswer:
         claim = Claim(
--- a/packages/daemon/src/bergamotwood_daemon/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/daemon.py
@@ -110,7 +110,7 @@
             self._peer_server.start(Address(peer.host, peer.port))
             self.control_replica.start()
         self.entry.watch.start()
-        self.entry.claims.abandon(self._instance_id, self.incarnation)
+        self.entry.claims.abandon_earlier_claims(self._instance_id, self.incarnation)
         self._ticker.start()
         self._server.start()
         log_event(
--- a/packages/daemon/src/bergamotwood_daemon/endpointcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/endpointcall.py
@@ -30,16 +30,16 @@
 
     def __init__(self, method: str) -> None:
         super().__init__(method=method)
-        self._pieces = bytearray()
+        self._unread_body = bytearray()
 
     def _on_body(self, buf: bytearray) -> None:
-        self._pieces += buf
+        self._unread_body += buf
 
     def take_body(self) -> bytes:
         """Return the body bytes that arrived since the last call."""
-        taken = bytes(self._pieces)
-        self._pieces.clear()
-        return taken
+        body = bytes(self._unread_body)
+        self._unread_body.clear()
+        return body
 
 
 class EndpointCall:
@@ -135,16 +135,16 @@
         EndpointError
             As for `read`, or the body is larger than `limit` bytes.
         """
-        whole = bytearray()
+        body = bytearray()
         while piece := self.read(timeout_seconds):
-            whole += piece
-            if len(whole) > limit:
+            body += piece
+            if len(body) > limit:
                 raise EndpointError(
                     f"{self._address}: answer larger than {limit} bytes",
                     Code.ANSWER_TOO_LARGE,
                     Run.RAN,
                 )
-        return bytes(whole)
+        return bytes(body)
 
     def read_events(self, first_timeout: float, timeout: float) -> Iterator[bytes]:
         """Yield the data of each server-sent event, until the body ends."""
--- a/packages/daemon/src/bergamotwood_daemon/ratings.py
+++ b/packages/daemon/src/bergamotwood_daemon/ratings.py
@@ -40,7 +40,7 @@
     def __init__(self, address: SocketAddress | None) -> None:
         self._address = Address(address.host, address.port) if address else None
 
-    def rate(self, rating: RatingRequest) -> float | None:
+    def rate(self, request: RatingRequest) -> float | None:
         """Return the score; None when the service refused or failed."""
         if self._address is None:
             return None
@@ -49,7 +49,7 @@
             "POST",
             RATING_PATH,
             (Header("Content-Type", "application/json"),),
-            json.encode(rating),
+            json.encode(request),
         )
         try:
             call.dial(CONNECT_TIMEOUT_SECONDS)
--- a/packages/daemon/src/bergamotwood_daemon/routes.py
+++ b/packages/daemon/src/bergamotwood_daemon/routes.py
@@ -109,18 +109,18 @@
             return answer_problem(BergamotwoodError("internal error"))
 
     def _dispatch(self, request: WebRequest) -> Response:
-        known_path = False
+        path_exists = False
         for route in self._routes:
             match = route.pattern.fullmatch(request.path)
             if match is None:
                 continue
-            known_path = True
+            path_exists = True
             if route.method not in (ANY_METHOD, request.method):
                 continue
             if route.guard is not None:
                 route.guard(request)
             return route.handler(request, *match.groups())
-        if known_path:
+        if path_exists:
             raise RequestError(
                 f"{request.path}: method {request.method} not allowed",
                 Code.METHOD_NOT_ALLOWED,
--- a/packages/daemon/src/bergamotwood_daemon/services.py
+++ b/packages/daemon/src/bergamotwood_daemon/services.py
@@ -115,8 +115,10 @@
                 Code.FORBIDDEN,
             )
         context = make_context(self._entry, request, workspace)
-        safe = request.method in SAFE_METHODS or path in service.idempotent_paths
-        context.idempotent = context.idempotent and safe
+        is_idempotent = (
+            request.method in SAFE_METHODS or path in service.idempotent_paths
+        )
+        context.idempotent = context.idempotent and is_idempotent
         return ServiceCall(
             context=context,
             service=service,
@@ -168,7 +170,7 @@
         return answer
 
     def _answer_once(self, call: ServiceCall) -> StoredAnswer:
-        keyed = KeyedRequest(
+        keyed_request = KeyedRequest(
             call.context.workspace.key, call.key, call.digest, call.context.id
         )
 
@@ -185,7 +187,7 @@
 
         timeouts = self._entry.settings.timeouts
         try:
-            return self._entry.claims.run_once(keyed, dispatch, timeouts.call)
+            return self._entry.claims.run_once(keyed_request, dispatch, timeouts.call)
         finally:
             # A dispatched run may outlast its caller; it releases its slot itself.
             if not dispatched:
--- a/tests/daemon/test_claims.py
+++ b/tests/daemon/test_claims.py
@@ -47,14 +47,14 @@
         self.runs = 0
         self.error = None
 
-    def run(self, id="a-1-1", digest="d", wait=1.0, hold=None):
+    def run(self, id="a-1-1", digest="d", wait=1.0, may_finish=None):
         claims = Claims(self.ledger, 0.1, Random(1))
         request = KeyedRequest("karen", "k", digest, id)
 
         def dispatch():
             self.runs += 1
-            if hold is not None:
-                hold.wait()
+            if may_finish is not None:
+                may_finish.wait()
             if self.error is not None:
                 raise self.error
             attempt = Attempt("parcels", "e1", cost=0.5)
@@ -96,13 +96,13 @@
 
 
 def test_concurrent_request_with_the_same_key_is_refused_as_in_progress(entries):
-    hold = Event()
-    first = spawn(entries.run, "a-1-1", hold=hold)
+    may_finish = Event()
+    first = spawn(entries.run, "a-1-1", may_finish=may_finish)
     entries.wait_for_state(ClaimState.HELD)
     with pytest.raises(IdempotencyError) as caught:
         entries.run("b-1-1")
     assert caught.value.code is Code.IN_PROGRESS
-    hold.set()
+    may_finish.set()
     assert first.get() == ANSWER
     assert (entries.runs, entries.bills) == (1, 1)
 
@@ -141,22 +141,22 @@
 
 
 def test_late_answer_is_stored_and_billed_after_its_caller_timed_out(entries):
-    hold = Event()
+    may_finish = Event()
     with pytest.raises(IdempotencyError) as caught:
-        entries.run("a-1-1", wait=0.01, hold=hold)
+        entries.run("a-1-1", wait=0.01, may_finish=may_finish)
     assert caught.value.run is Run.MAY_HAVE_RUN
-    hold.set()
+    may_finish.set()
     entries.wait_for_state(ClaimState.DONE)
     assert entries.run("b-1-1") == ANSWER
     assert (entries.runs, entries.bills) == (1, 1)
 
 
 def test_unconfirmed_bill_is_submitted_again_until_it_commits(entries):
-    hold = Event()
-    first = spawn(entries.run, "a-1-1", hold=hold)
+    may_finish = Event()
+    first = spawn(entries.run, "a-1-1", may_finish=may_finish)
     entries.wait_for_state(ClaimState.HELD)
     entries.ledger.fail_before = 2
-    hold.set()
+    may_finish.set()
     with pytest.raises(IdempotencyError) as caught:
         first.get()
     assert caught.value.run is Run.RAN
--- a/tests/daemon/test_endpointcall.py
+++ b/tests/daemon/test_endpointcall.py
@@ -100,7 +100,7 @@
     assert caught.value.run is Run.NOT_RUN
 
 
-def test_events_are_parsed_when_they_arrive_byte_by_byte(serve):
+def test_events_are_parsed_when_each_byte_is_its_own_http_chunk(serve):
     events = b"data: one\n\ndata: two\r\n\r\ndata: three\n\n"
     chunks = b"".join(
         b"1\r\n" + events[i : i + 1] + b"\r\n" for i in range(len(events))
