--- a/packages/daemon/src/bergamotwood_daemon/chatcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/chatcall.py
@@ -137,7 +137,7 @@
         return None
     if not 1 <= len(key) <= MAX_KEY_CHARACTERS or not key.isprintable():
         raise RequestError(
-            f"idempotency-key: 1 to {MAX_KEY_CHARACTERS} printable characters"
+            f"idempotency-key: must be 1 to {MAX_KEY_CHARACTERS} printable characters"
         )
     return IdempotencyKey(key)
 
@@ -274,7 +274,8 @@
         seconds = 0.0
     if not 0.0 < seconds <= MAX_DEADLINE_SECONDS:
         raise RequestError(
-            f"bergamotwood-deadline-seconds: above 0, at most {MAX_DEADLINE_SECONDS}"
+            "bergamotwood-deadline-seconds: must be above 0 and at most "
+            f"{MAX_DEADLINE_SECONDS}"
         )
     return seconds
 
@@ -284,5 +285,7 @@
     if name is None:
         return Priority.NORMAL
     if name not in PRIORITIES:
-        raise RequestError(f"bergamotwood-priority: one of {', '.join(PRIORITIES)}")
+        raise RequestError(
+            f"bergamotwood-priority: must be one of {', '.join(PRIORITIES)}"
+        )
     return PRIORITIES[name]
--- a/packages/daemon/src/bergamotwood_daemon/web.py
+++ b/packages/daemon/src/bergamotwood_daemon/web.py
@@ -219,7 +219,7 @@
 def send_response(
     response: Response, start_response: StartResponse, close_connection: bool
 ) -> Iterable[bytes]:
-    """Pass a response to the WSGI server, which may close the connection after it."""
+    """Pass a response to the WSGI server, and have it close the connection if asked."""
     phrase = HTTPStatus(response.status).phrase
     headers = [("Content-Type", response.content_type), *response.headers]
     if isinstance(response.body, list):
