--- a/packages/daemon/src/bergamotwood_daemon/answer.py
+++ b/packages/daemon/src/bergamotwood_daemon/answer.py
@@ -18,13 +18,13 @@
 from bergamotwood_core.target import VersionTarget
 from bergamotwood_daemon.attempts import (
     OpenAttempt,
-    Outgoing,
+    OutgoingRequest,
     allow_retry,
+    handle_failure,
     open_attempt,
-    settle_failure,
 )
 from bergamotwood_daemon.endpointcall import Header
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 
 CHAT_PATH = "/v1/chat/completions"
 DONE = b"[DONE]"
@@ -58,45 +58,47 @@
     Parameters
     ----------
     entry : Entry
-        Where the request came in.
-    work : Work
-        The request.
+        The entry that received the request.
+    context : RequestContext
+        State of the request at the entry.
     version : Version
-        What answers it.
+        The version that answers.
     document : dict
-        The caller's chat request.
+        The caller's JSON document.
     """
 
-    def __init__(self, entry: Entry, work: Work, version: Version, document: dict):
+    def __init__(
+        self, entry: Entry, context: RequestContext, version: Version, document: dict
+    ):
         self.version = version
         self.first_token_seconds: float | None = None
         self.started_at = entry.clock()
         self._entry = entry
-        self._work = work
+        self._context = context
         self._document = document
-        self._assembler = StreamAssembler(work.id)
+        self._assembler = StreamAssembler(context.id)
         self._target = VersionTarget(version.version_id)
 
     @property
     def usage(self) -> Usage:
-        """Tokens taken; known after the end."""
+        """Tokens used; zero until the end of the answer."""
         return self._assembler.usage or Usage()
 
     @property
     def cost(self) -> float:
-        """Cost units of the whole answer."""
+        """Cost of the complete answer, in cost units."""
         usage = self.usage
         prompt = usage.prompt_tokens * self.version.input_price
         output = usage.completion_tokens * self.version.output_price
         return (prompt + output) / TOKENS_PER_PRICE
 
     def stream(self) -> Iterator[Chunk]:
-        """Yield the chunks in order; returns only after a checked end.
+        """Yield the chunks in order; return only when the answer is complete.
 
         Raises
         ------
         EndpointError, RefusedError, AuthorizationError
-            The answer is not whole.
+            The answer is incomplete.
         """
         attempts = 0
         self._entry.outcomes.count_start(self.version.version_id)
@@ -106,7 +108,7 @@
                 yield from self._stream_attempt()
                 return
             except EndpointError as error:
-                if not allow_retry(self._entry, self._work, attempts):
+                if not allow_retry(self._entry, self._context, attempts):
                     raise
                 if error.run is not Run.NOT_RUN:
                     self._assembler.resume()
@@ -116,9 +118,9 @@
         try:
             yield from self._read(attempt)
         except EndpointError as error:
-            self._note(attempt, "failed")
-            settle_failure(
-                self._entry, self._work, attempt, error.code is Code.STREAM_BROKEN
+            self._record_attempt(attempt, "failed")
+            handle_failure(
+                self._entry, self._context, attempt, error.code is Code.STREAM_BROKEN
             )
             raise
         except GeneratorExit:
@@ -130,14 +132,14 @@
     def _open(self) -> OpenAttempt:
         try:
             return open_attempt(
-                self._entry, self._work, self._target, self._make_outgoing()
+                self._entry, self._context, self._target, self._make_outgoing()
             )
         except RefusedError as error:
-            raise self._name_refusal(error) from error
+            raise self._mark_partly_run(error) from error
 
-    def _name_refusal(self, error: RefusedError) -> BergamotwoodError:
-        """Say that the request has run in part, where it has."""
-        if not self._work.attempts:
+    def _mark_partly_run(self, error: RefusedError) -> BergamotwoodError:
+        """Mark a refusal MAY_HAVE_RUN if an earlier attempt was dispatched."""
+        if not self._context.attempts:
             return error
         return RefusedError(error.detail, error.code, Run.MAY_HAVE_RUN)
 
@@ -145,20 +147,21 @@
         self._check_status(attempt)
         timeouts = self._entry.settings.timeouts
         events = attempt.call.read_events(timeouts.first_chunk, timeouts.next_chunk)
-        done = False
+        end_marker_seen = False
         for event in events:
             if event == DONE:
-                done = True
+                end_marker_seen = True
                 break
-            if self._entry.clock() >= self._work.deadline:
+            if self._entry.clock() >= self._context.deadline:
                 raise EndpointError(
-                    "the deadline passed before the end", Code.DEADLINE_EXCEEDED
+                    "the deadline passed before the end of the answer",
+                    Code.DEADLINE_EXCEEDED,
                 )
             for chunk in self._assembler.accept(_decode_chunk(event)):
-                self._note_first_token(attempt)
+                self._mark_first_token(attempt)
                 yield chunk
-        self._assembler.finish(done)
-        self._note(attempt, "answered")
+        self._assembler.finish(end_marker_seen)
+        self._record_attempt(attempt, "answered")
         attempt.succeed()
 
     def _check_status(self, attempt: OpenAttempt) -> None:
@@ -169,42 +172,42 @@
         body = attempt.call.read_all(wait, MAX_ERROR_BYTES)
         run = Run.NOT_RUN if 400 <= status < 500 else Run.MAY_HAVE_RUN
         raise EndpointError(
-            f"{attempt.endpoint} answered {status}: {body.decode(errors='replace')}",
+            f"{attempt.endpoint_id} answered {status}: {body.decode(errors='replace')}",
             run=run,
         )
 
-    def _note_first_token(self, attempt: OpenAttempt) -> None:
-        attempt.note_first_token()
+    def _mark_first_token(self, attempt: OpenAttempt) -> None:
+        attempt.mark_first_token()
         if self.first_token_seconds is None:
             self.first_token_seconds = self._entry.clock() - self.started_at
 
-    def _note(self, attempt: OpenAttempt, outcome: str) -> None:
-        whole = outcome == "answered"
-        usage = self.usage if whole else Usage(0, self._assembler.tokens)
-        self._work.attempts.append(
+    def _record_attempt(self, attempt: OpenAttempt, outcome: str) -> None:
+        is_complete = outcome == "answered"
+        usage = self.usage if is_complete else Usage(0, self._assembler.tokens)
+        self._context.attempts.append(
             Attempt(
                 self.version.id,
-                attempt.endpoint,
+                attempt.endpoint_id,
                 usage.prompt_tokens,
                 usage.completion_tokens,
-                self.cost if whole else 0.0,
+                self.cost if is_complete else 0.0,
                 outcome,
             )
         )
 
-    def _make_outgoing(self) -> Outgoing:
+    def _make_outgoing(self) -> OutgoingRequest:
         document = dict(self._document)
         document["model"] = self.version.id
         document["stream"] = True
-        document["priority"] = int(self._work.priority)
+        document["priority"] = int(self._context.priority)
         headers = (
             Header("Content-Type", "application/json"),
-            Header("X-Request-Id", self._work.id),
+            Header("X-Request-Id", self._context.id),
             Header("Bergamotwood-Version", self.version.id),
             Header("Bergamotwood-Resume-From", str(self._assembler.next_index)),
         )
         wait = self._entry.settings.timeouts.first_chunk
-        return Outgoing("POST", CHAT_PATH, headers, json.encode(document), wait)
+        return OutgoingRequest("POST", CHAT_PATH, headers, json.encode(document), wait)
 
 
 def _decode_chunk(event: bytes) -> Chunk:
@@ -213,7 +216,7 @@
         choice = decoded.choices[0] if decoded.choices else _Choice()
         delta = _DELTAS.decode(choice.delta)
     except (DecodeError, ValidationError) as error:
-        raise EndpointError(f"not a chunk: {error}", Code.STREAM_BROKEN) from error
+        raise EndpointError(f"invalid chunk: {error}", Code.STREAM_BROKEN) from error
     return Chunk(
         RequestId(decoded.id),
         decoded.index,
--- a/packages/daemon/src/bergamotwood_daemon/steps.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -1,4 +1,4 @@
-"""The steps of a cascade: run, rate, accept, and learn from what came back."""
+"""Runs the steps of a cascade, and rates and records their answers."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 from bergamotwood_daemon.chatcall import ChatCall, list_candidates
 from bergamotwood_daemon.completion import join_text
 from bergamotwood_daemon.entry import Entry
-from bergamotwood_daemon.ratings import RatingRequest, Ratings
+from bergamotwood_daemon.ratings import RatingClient, RatingRequest
 
 # Refusals that hold for every step of a request.
 FINAL_CODES = (Code.CONFIG_STALE, Code.QUARANTINED, Code.DEADLINE_EXCEEDED)
@@ -35,13 +35,13 @@
     Parameters
     ----------
     answer : VersionAnswer
-        What a version answers.
+        The answer of the step's version.
     chunks : iterator of Chunk
-        The answer, from its first chunk.
+        Chunks of the answer, from the first one.
     key : EstimateKey
-        What its ratings are about.
+        Estimate that ratings of the answer update.
     score : float or None
-        Rating before it was returned, if it was rated.
+        Rating from before the answer was returned; None without one.
     """
 
     answer: VersionAnswer
@@ -50,119 +50,131 @@
     score: float | None = None
 
 
-class Steps:
+class CascadeRunner:
     """Runs cascades at one entry.
 
     Parameters
     ----------
     entry : Entry
-        Tables, policies and ways to the leaders.
-    ratings : Ratings
-        The rating service.
+        Shared state of the entry.
+    ratings : RatingClient
+        Client of the rating service.
     """
 
-    def __init__(self, entry: Entry, ratings: Ratings) -> None:
+    def __init__(self, entry: Entry, ratings: RatingClient) -> None:
         self._entry = entry
         self._ratings = ratings
 
     def plan(self, call: ChatCall) -> CascadePlan:
-        """Choose the steps by the configuration in force now."""
+        """Choose the steps by the current configuration."""
         return self._entry.policy.plan(
-            call.work.workspace,
+            call.context.workspace,
             call.request_class,
             list_candidates(self._entry, call),
             call.prompt_tokens,
             self._entry.clock(),
-            call.work.deadline,
+            call.context.deadline,
         )
 
     def run(self, call: ChatCall, steps: tuple[Step, ...]) -> StepAnswer:
         """Run steps until an answer is accepted.
 
-        Where the later steps fail, the newest answer that was whole is returned
-        though its rating is low.
+        If the later steps fail, the last complete answer is returned despite its low
+        rating.
 
         Raises
         ------
         EndpointError, RefusedError, AuthorizationError
             No step gave an answer.
         """
-        whole: StepAnswer | None = None
+        fallback: StepAnswer | None = None
         failure: BergamotwoodError | None = None
         for number, step in enumerate(steps):
             try:
-                found = self._run_step(call, step, number, len(steps))
+                step_answer = self._run_step(call, step, number, len(steps))
             except (EndpointError, RefusedError) as error:
                 failure = error
                 if error.code in FINAL_CODES:
                     break
                 continue
-            if found.score is None or found.score >= step.threshold:
-                return found
-            whole = found
-        if whole is not None:
-            return whole
-        raise failure or RefusedError("no version may answer", Code.NO_ENDPOINT)
-
-    def open(self, call: ChatCall, version: VersionId, number: int = 0) -> StepAnswer:
+            if step_answer.score is None or step_answer.score >= step.threshold:
+                return step_answer
+            fallback = step_answer
+        if fallback is not None:
+            return fallback
+        raise failure or RefusedError(
+            "no version can answer the request", Code.NO_ENDPOINT
+        )
+
+    def prepare_answer(
+        self, call: ChatCall, version: VersionId, number: int = 0
+    ) -> StepAnswer:
         """Prepare the answer of one version; nothing is sent yet."""
         entity = self._entry.tables.configuration.versions.get(version)
         if entity is None:
-            raise RefusedError(f"version {version} is gone", Code.VERSION_WITHDRAWN)
-        answer = VersionAnswer(self._entry, call.work, entity, call.document)
+            raise RefusedError(
+                f"version {version} no longer exists", Code.VERSION_WITHDRAWN
+            )
+        answer = VersionAnswer(self._entry, call.context, entity, call.document)
         key = EstimateKey(
-            call.work.workspace.key, call.request_class, version, number > 0
+            call.context.workspace.key, call.request_class, version, number > 0
         )
         return StepAnswer(answer, answer.stream(), key)
 
-    def learn(self, call: ChatCall, returned: StepAnswer) -> None:
-        """Learn from an answer that the caller gets whole."""
+    def record_answer(self, call: ChatCall, returned: StepAnswer) -> None:
+        """Update the estimates with an answer that the caller receives in full."""
         answer = returned.answer
-        first = answer.first_token_seconds or 0.0
+        first_token_seconds = answer.first_token_seconds or 0.0
         usage = Usage(
             answer.usage.prompt_tokens,
             answer.usage.completion_tokens,
-            first,
+            first_token_seconds,
             self._entry.clock() - answer.started_at,
         )
         version = answer.version.version_id
         policy = self._entry.policy
         policy.record_answer(call.request_class, version, usage)
-        policy.record_returned_answer(call.work.workspace, returned.key, returned.score)
-        self._entry.outcomes.count_outcome(Outcome(version, False, first))
+        policy.record_returned_answer(
+            call.context.workspace, returned.key, returned.score
+        )
+        self._entry.outcomes.count_outcome(Outcome(version, False, first_token_seconds))
 
-    def note_failure(self, failed: StepAnswer, error: BergamotwoodError) -> None:
-        """Count a failure of an endpoint against its version."""
+    def count_failure(self, failed: StepAnswer, error: BergamotwoodError) -> None:
+        """Count an endpoint's failure in the outcomes of its version."""
         if isinstance(error, EndpointError):
             outcome = Outcome(failed.answer.version.version_id, failed=True)
             self._entry.outcomes.count_outcome(outcome)
 
-    def sample(self, call: ChatCall, returned: StepAnswer, text: str) -> None:
-        """Have some returned answers rated, without the caller waiting."""
-        if self._is_sampled(returned):
+    def sample_for_rating(
+        self, call: ChatCall, returned: StepAnswer, text: str
+    ) -> None:
+        """Rate a sample of the returned answers in the background."""
+        if self._should_sample(returned):
             spawn(self._rate_returned, call, returned, text)
 
     def _run_step(
         self, call: ChatCall, step: Step, number: int, count: int
     ) -> StepAnswer:
-        """Run one step; an answer that is rated first comes whole."""
-        found = self.open(call, step.version, number)
+        """Run one step; an answer to be rated is first read in full."""
+        step_answer = self.prepare_answer(call, step.version, number)
         try:
             if number == count - 1 or not step.rate:
-                # Waiting for the first chunk gives an early failure its status.
-                found.chunks = chain((next(found.chunks),), found.chunks)
-                return found
-            chunks = list(found.chunks)
+                # Waiting for the first chunk lets an early failure set the HTTP status.
+                step_answer.chunks = chain(
+                    (next(step_answer.chunks),), step_answer.chunks
+                )
+                return step_answer
+            chunks = list(step_answer.chunks)
         except (EndpointError, RefusedError) as error:
-            self.note_failure(found, error)
+            self.count_failure(step_answer, error)
             raise
-        found.chunks = iter(chunks)
-        # Without a rating the answer is not known to do, and the next step runs.
-        found.score = self._rate(call, found, join_text(chunks)) or 0.0
-        return found
+        step_answer.chunks = iter(chunks)
+        # An answer without a rating counts as rejected, so the next step runs.
+        step_answer.score = self._rate(call, step_answer, join_text(chunks)) or 0.0
+        return step_answer
 
-    def _is_sampled(self, returned: StepAnswer) -> bool:
-        """Whether to rate a returned answer; those of a roll-out come first."""
+    def _should_sample(self, returned: StepAnswer) -> bool:
+        """Whether to rate a returned answer; candidates of roll-outs take priority."""
         policy = self._entry.policy
         now = self._entry.clock()
         if returned.score is not None:
@@ -175,29 +187,31 @@
         if returned.score is None:
             self._rate(call, returned, text)
             return
-        second = self._ask(call, returned, text)
+        second = self._request_rating(call, returned, text)
         if second is not None:
-            # The answer was selected by its first rating, so that the second one
-            # tells about the selection and not about the version.
+            # The answer was selected by its first rating, so the second one measures
+            # the selection rather than the version.
             self._entry.policy.record_repeated_rating(returned.score, second)
 
     def _rate(self, call: ChatCall, rated: StepAnswer, text: str) -> float | None:
-        score = self._ask(call, rated, text)
+        score = self._request_rating(call, rated, text)
         if score is None:
             return None
         self._entry.policy.record_rating(rated.key, score, self._entry.clock())
         self._entry.outcomes.count_score(rated.answer.version.version_id, score)
         return score
 
-    def _ask(self, call: ChatCall, rated: StepAnswer, text: str) -> float | None:
-        rating = RatingRequest(
-            call.work.id,
-            call.work.workspace.name,
+    def _request_rating(
+        self, call: ChatCall, rated: StepAnswer, text: str
+    ) -> float | None:
+        request = RatingRequest(
+            call.context.id,
+            call.context.workspace.name,
             call.request_class,
             rated.answer.version.id,
             text,
         )
-        score = self._ratings.rate(rating)
+        score = self._ratings.rate(request)
         if score is None:
             self._entry.policy.record_refusal(self._entry.clock())
         return score
--- a/packages/daemon/src/bergamotwood_daemon/chatcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/chatcall.py
@@ -1,4 +1,4 @@
-"""A caller's chat request: checked, and what it may run on."""
+"""Validates chat requests, and lists the versions that may answer them."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -29,7 +29,7 @@
 from bergamotwood_core.session import read_session
 from bergamotwood_core.states import Priority, VersionState
 from bergamotwood_core.tables import ConfigurationTables
-from bergamotwood_daemon.entry import Entry, Work
+from bergamotwood_daemon.entry import Entry, RequestContext
 from bergamotwood_daemon.tracing import Trace
 from bergamotwood_daemon.web import WebRequest
 
@@ -43,34 +43,34 @@
 
 @dataclass(frozen=True)
 class ChatCall:
-    """A checked chat request.
+    """A validated chat request.
 
     Parameters
     ----------
-    work : Work
-        Its way through the entry.
+    context : RequestContext
+        State of the request at the entry.
     document : dict
-        The caller's JSON, passed on to engines.
+        The caller's JSON document, forwarded to engines.
     models : tuple of ModelName
         Models of the named cascade, or the named model.
-    pinned : VersionId or None
-        Version of its session, or the one that it names.
+    pinned_version : VersionId or None
+        Version of the caller's session, or the version that the request names.
     stream : bool
-        Whether the caller wants events.
+        Whether the caller asked for server-sent events.
     key : IdempotencyKey or None
-        Chosen by the caller.
+        Idempotency key of the caller.
     digest : str
-        Of the path and the body, to tell another request with the same key.
+        Digest that detects a different request with the same key.
     prompt_tokens : int
-        Estimate of the prompt's size.
+        Estimated number of prompt tokens.
     request_class : RequestClass
-        Kind of request.
+        Class whose estimates the cascade policy uses.
     """
 
-    work: Work
+    context: RequestContext
     document: dict[str, Any]
     models: tuple[ModelName, ...]
-    pinned: VersionId | None
+    pinned_version: VersionId | None
     stream: bool
     key: IdempotencyKey | None
     digest: str
@@ -79,29 +79,29 @@
 
 
 def read_chat_call(entry: Entry, request: WebRequest, workspace: Workspace) -> ChatCall:
-    """Check a chat request.
+    """Validate a chat request.
 
     Raises
     ------
     RequestError, AuthorizationError
-        It cannot be accepted; nothing ran.
+        The request is not acceptable; nothing ran.
     """
     document = request.read_json()
     prompt = _read_prompt(document)
-    models, named = _resolve_model(
+    models, named_version = _resolve_model(
         entry.tables.configuration, workspace, document.get("model")
     )
-    work = make_work(entry, request, workspace)
-    work.prefix_hash = xxh3_64_intdigest(prompt[:PREFIX_CHARACTERS].encode())
+    context = make_context(entry, request, workspace)
+    context.prefix_hash = xxh3_64_intdigest(prompt[:PREFIX_CHARACTERS].encode())
     prompt_tokens = len(prompt) // CHARACTERS_PER_TOKEN + 1
-    work.prefix_tokens = prompt_tokens
+    context.prefix_tokens = prompt_tokens
     return ChatCall(
-        work=work,
+        context=context,
         document=document,
         models=models,
-        pinned=_read_pinned(entry, work, models) or named,
+        pinned_version=_read_pinned_version(entry, context, models) or named_version,
         stream=bool(document.get("stream", False)),
-        key=read_key(request),
+        key=read_idempotency_key(request),
         digest=digest_request(request),
         prompt_tokens=prompt_tokens,
         request_class=classify_request(
@@ -110,11 +110,13 @@
     )
 
 
-def make_work(entry: Entry, request: WebRequest, workspace: Workspace) -> Work:
-    """Make the record of a request that came in."""
+def make_context(
+    entry: Entry, request: WebRequest, workspace: Workspace
+) -> RequestContext:
+    """Create the context of a received request."""
     session = request.read_header("bergamotwood-session")
     id = entry.make_request_id()
-    return Work(
+    return RequestContext(
         id=id,
         workspace=workspace,
         fingerprint=fingerprint_request(
@@ -128,20 +130,20 @@
     )
 
 
-def read_key(request: WebRequest) -> IdempotencyKey | None:
+def read_idempotency_key(request: WebRequest) -> IdempotencyKey | None:
     """Read the caller's idempotency key."""
     key = request.read_header("idempotency-key")
     if key is None:
         return None
     if not 1 <= len(key) <= MAX_KEY_CHARACTERS or not key.isprintable():
         raise RequestError(
-            f"idempotency-key: 1 to {MAX_KEY_CHARACTERS} printable characters"
+            f"idempotency-key: must be 1 to {MAX_KEY_CHARACTERS} printable characters"
         )
     return IdempotencyKey(key)
 
 
 def digest_request(request: WebRequest) -> str:
-    """Digest of what a key stands for: method, path, query and body."""
+    """Hash method, path, query and body, which must not differ for one key."""
     digest = sha256()
     query = request.environ.get("QUERY_STRING", "")
     for part in (request.method, request.path, query):
@@ -156,17 +158,19 @@
     Raises
     ------
     RefusedError, AuthorizationError
-        There is none.
+        No version may answer.
     """
     tables = entry.tables.configuration
-    if call.pinned is not None:
-        chosen = [call.pinned]
+    if call.pinned_version is not None:
+        chosen = [call.pinned_version]
     else:
-        chosen = [_choose_version(entry, call.work.workspace, m) for m in call.models]
-    allowed = [v for v in chosen if v in call.work.workspace.versions]
+        chosen = [
+            _choose_version(entry, call.context.workspace, m) for m in call.models
+        ]
+    allowed = [v for v in chosen if v in call.context.workspace.versions]
     if not allowed:
         raise AuthorizationError(
-            f"workspace {call.work.workspace.name} may use none of {chosen}",
+            f"workspace {call.context.workspace.name} may use none of {chosen}",
             Code.MODEL_NOT_ALLOWED,
         )
     serving = [v for v in allowed if _is_serving(tables, v)]
@@ -191,13 +195,16 @@
 
 
 def _make_candidate(entry: Entry, version: Version) -> Candidate:
-    rows = entry.tables.directory.endpoints.values()
-    seen = [
-        row.first_token_seconds
-        for row in rows
-        if version.id in row.announcement.versions and row.first_token_seconds > 0.0
+    endpoints = entry.tables.directory.endpoints.values()
+    measured = [
+        endpoint.first_token_seconds
+        for endpoint in endpoints
+        if version.id in endpoint.announcement.versions
+        and endpoint.first_token_seconds > 0.0
     ]
-    expected = sum(seen) / len(seen) if seen else DEFAULT_FIRST_TOKEN_SECONDS
+    expected = (
+        sum(measured) / len(measured) if measured else DEFAULT_FIRST_TOKEN_SECONDS
+    )
     return Candidate(
         version.version_id, version.input_price, version.output_price, expected
     )
@@ -206,7 +213,7 @@
 def _read_prompt(document: dict[str, Any]) -> str:
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise RequestError("messages: a list of at least one message is needed")
+        raise RequestError("messages: a list of at least one message is required")
     if not all(isinstance(message, dict) for message in messages):
         raise RequestError("messages: each must be an object")
     pieces = []
@@ -222,7 +229,7 @@
     tables: ConfigurationTables, workspace: Workspace, name: Any
 ) -> tuple[tuple[ModelName, ...], VersionId | None]:
     if not isinstance(name, str):
-        raise RequestError("model: the name of a model, version or cascade is needed")
+        raise RequestError("model: the name of a model, version or cascade is required")
     cascade = tables.cascades.get(CascadeName(name))
     if cascade is not None and name in workspace.cascades:
         return tuple(ModelName(model) for model in cascade.models), None
@@ -238,15 +245,15 @@
     raise RequestError(f"model: {name!r:.80} is not known", Code.UNKNOWN_MODEL)
 
 
-def _read_pinned(
-    entry: Entry, work: Work, models: tuple[ModelName, ...]
+def _read_pinned_version(
+    entry: Entry, context: RequestContext, models: tuple[ModelName, ...]
 ) -> VersionId | None:
-    if work.session is None:
+    if context.session is None:
         return None
-    version = read_session(work.session, entry.secret)
+    version = read_session(context.session, entry.secret)
     if version.partition(":")[0] not in models:
         raise RequestError(
-            f"session: it is on {version}, which the request does not name",
+            f"session: bound to {version}, which the request does not name",
             Code.SESSION_INVALID,
         )
     return version
@@ -267,7 +274,8 @@
         seconds = 0.0
     if not 0.0 < seconds <= MAX_DEADLINE_SECONDS:
         raise RequestError(
-            f"bergamotwood-deadline-seconds: above 0, at most {MAX_DEADLINE_SECONDS}"
+            "bergamotwood-deadline-seconds: must be above 0 and at most "
+            f"{MAX_DEADLINE_SECONDS}"
         )
     return seconds
 
@@ -277,5 +285,7 @@
     if name is None:
         return Priority.NORMAL
     if name not in PRIORITIES:
-        raise RequestError(f"bergamotwood-priority: one of {', '.join(PRIORITIES)}")
+        raise RequestError(
+            f"bergamotwood-priority: must be one of {', '.join(PRIORITIES)}"
+        )
     return PRIORITIES[name]
--- a/packages/daemon/src/bergamotwood_daemon/routes.py
+++ b/packages/daemon/src/bergamotwood_daemon/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the HTTP interface, and the WSGI application over them."""
+"""Routes of the HTTP interface, and the WSGI application that serves them."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -20,24 +20,24 @@
 
 Handler = Callable[..., Response]
 ANY_METHOD = "*"
-# Codes of refusals that another entry may not give.
-SERVED_ELSEWHERE = (Code.CONFIG_STALE, Code.LEDGER_UNAVAILABLE, Code.OVERLOADED)
+# Refusals that another entry might not give, so callers get other addresses.
+RETRY_ELSEWHERE_CODES = (Code.CONFIG_STALE, Code.LEDGER_UNAVAILABLE, Code.OVERLOADED)
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One method and path, with the handler and the check before it.
+    """A method and path pattern, with its handler and authorization check.
 
     Parameters
     ----------
     method : str
         HTTP method, or `*` for any.
     pattern : Pattern
-        Whole path; its groups are arguments of the handler.
+        Matches the whole path; its groups are passed to the handler.
     handler : callable
-        Takes the request and the groups.
+        Takes the request and the groups of the pattern.
     guard : callable or None
-        Checks the caller's key first.
+        Checks the caller's key before the handler runs.
     """
 
     method: str
@@ -52,7 +52,7 @@
     handler: Handler,
     guard: Callable[[WebRequest], None] | None = None,
 ) -> Route:
-    """Make a route from the text of its pattern."""
+    """Make a route, compiling its path pattern."""
     return Route(method, compile_pattern(pattern), handler, guard)
 
 
@@ -62,35 +62,35 @@
     Parameters
     ----------
     routes : tuple of Route
-        Tried in order.
+        Routes, tried in order.
     limits : Limits
         Bounds on requests.
-    list_others : callable
-        Addresses of other entries, told to callers that this one cannot serve.
+    list_other_entries : callable
+        Returns the addresses of other entries, for callers that this one cannot serve.
     """
 
     def __init__(
         self,
         routes: tuple[Route, ...],
         limits: Limits,
-        list_others: Callable[[], tuple[str, ...]],
+        list_other_entries: Callable[[], tuple[str, ...]],
     ) -> None:
         self._routes = routes
         self._limits = limits
-        self._list_others = list_others
+        self._list_other_entries = list_other_entries
         self.active = 0
         self.draining = False
 
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request; it is active until its body is closed."""
+        """Answer one request, which counts as active until its body is closed."""
         self.active += 1
         response = self._answer(environ)
         pieces = send_response(response, start_response, self.draining)
-        return ClosingBody(pieces, self._end)
+        return ClosingBody(pieces, self._finish_request)
 
-    def _end(self) -> None:
+    def _finish_request(self) -> None:
         self.active -= 1
 
     def _answer(self, environ: Environ) -> Response:
@@ -98,26 +98,31 @@
         try:
             return self._dispatch(request)
         except BergamotwoodError as error:
-            others = self._list_others() if error.code in SERVED_ELSEWHERE else ()
-            return answer_problem(error, others)
+            addresses = (
+                self._list_other_entries()
+                if error.code in RETRY_ELSEWHERE_CODES
+                else ()
+            )
+            return answer_problem(error, addresses)
         except Exception:
             log_failure("http", "Request failed.", path=request.path)
             return answer_problem(BergamotwoodError("internal error"))
 
     def _dispatch(self, request: WebRequest) -> Response:
-        known_path = False
+        path_exists = False
         for route in self._routes:
             match = route.pattern.fullmatch(request.path)
             if match is None:
                 continue
-            known_path = True
+            path_exists = True
             if route.method not in (ANY_METHOD, request.method):
                 continue
             if route.guard is not None:
                 route.guard(request)
             return route.handler(request, *match.groups())
-        if known_path:
+        if path_exists:
             raise RequestError(
-                f"{request.path}: not with {request.method}", Code.METHOD_NOT_ALLOWED
+                f"{request.path}: method {request.method} not allowed",
+                Code.METHOD_NOT_ALLOWED,
             )
         raise RequestError(f"{request.path:.200}: no such path", Code.UNKNOWN_PATH)
--- a/packages/daemon/src/bergamotwood_daemon/web.py
+++ b/packages/daemon/src/bergamotwood_daemon/web.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers: reading requests, answering, and problem documents."""
+"""HTTP requests and responses of callers, and problem documents."""
 
 from collections.abc import Callable, Generator, Iterable, Iterator
 from dataclasses import dataclass, field
@@ -47,7 +47,7 @@
     environ : dict
         The WSGI environment.
     limits : Limits
-        Bounds on the body.
+        Limits on the size of the body and the time to receive it.
     """
 
     environ: Environ
@@ -74,20 +74,20 @@
         values = self.query.get(name)
         return values[0] if values else None
 
-    def read_number(self, name: str, default: int, most: int) -> int:
-        """Return a query parameter as a positive number, at most `most`."""
+    def read_number(self, name: str, default: int, maximum: int) -> int:
+        """Return a query parameter as a positive number, at most `maximum`."""
         text = self.read_parameter(name)
         if text is None:
             return default
         if not text.isdecimal() or int(text) < 1:
             raise RequestError(f"{name}: not a positive number: {text!r:.40}")
-        return min(int(text), most)
+        return min(int(text), maximum)
 
     def read_header(self, name: str) -> str | None:
         """Return a header field."""
         return self.environ.get("HTTP_" + name.upper().replace("-", "_"))
 
-    def read_bearer(self) -> str:
+    def read_bearer_token(self) -> str:
         """Return the bearer key, empty when there is none."""
         scheme, _, key = (self.read_header("authorization") or "").partition(" ")
         return key.strip() if scheme.lower() == "bearer" else ""
@@ -98,7 +98,7 @@
         Raises
         ------
         RequestError
-            The body is too large, cut off or too slow.
+            The body is too large, incomplete or too slow.
         """
         if self._body is None:
             self._body = self._read_body()
@@ -115,36 +115,44 @@
         return document
 
     def _read_body(self) -> bytes:
-        most = self.limits.body_bytes
+        maximum = self.limits.body_bytes
         declared = self.environ.get("CONTENT_LENGTH") or "0"
-        if declared.isdecimal() and int(declared) > most:
-            raise RequestError(f"body: larger than {most} bytes", Code.BODY_TOO_LARGE)
+        if declared.isdecimal() and int(declared) > maximum:
+            raise RequestError(
+                f"body: larger than {maximum} bytes", Code.BODY_TOO_LARGE
+            )
         try:
             with Timeout(self.limits.body_seconds):
-                body = self.environ["wsgi.input"].read(most + 1)
+                body = self.environ["wsgi.input"].read(maximum + 1)
         except Timeout as error:
             raise RequestError(
                 f"body: not received within {self.limits.body_seconds} s",
                 Code.SENDER_TOO_SLOW,
             ) from error
         except OSError as error:
-            raise RequestError("body: cut off", Code.BODY_INCOMPLETE) from error
-        if len(body) > most:
-            raise RequestError(f"body: larger than {most} bytes", Code.BODY_TOO_LARGE)
+            raise RequestError(
+                "body: the connection failed before its end", Code.BODY_INCOMPLETE
+            ) from error
+        if len(body) > maximum:
+            raise RequestError(
+                f"body: larger than {maximum} bytes", Code.BODY_TOO_LARGE
+            )
         if declared.isdecimal() and len(body) < int(declared):
-            raise RequestError("body: cut off", Code.BODY_INCOMPLETE)
+            raise RequestError(
+                f"body: received {len(body)} of {declared} bytes", Code.BODY_INCOMPLETE
+            )
         return body
 
 
 class ClosingBody:
-    """Body pieces with a step that follows however the body ends.
+    """A response body with a callback for when it is closed.
 
     Parameters
     ----------
     pieces : iterable of bytes
         The body.
     on_close : callable
-        Called once, also when no piece was ever taken.
+        Called once, even if the body was never read.
     """
 
     def __init__(self, pieces: Iterable[bytes], on_close: Callable[[], None]) -> None:
@@ -156,7 +164,7 @@
         return iter(self._pieces)
 
     def close(self) -> None:
-        """End the body; a second call changes nothing."""
+        """Close the body; a second call has no effect."""
         if not self._is_open:
             return
         self._is_open = False
@@ -194,7 +202,7 @@
         "detail": error.detail,
         "code": int(error.code),
         "run": str(error.run),
-        # Where clients of the OpenAI form look for the reason.
+        # Clients of OpenAI-compatible interfaces read the reason here.
         "error": {"message": error.detail, "code": int(error.code)},
     }
     if request_id:
@@ -209,15 +217,15 @@
 
 
 def send_response(
-    response: Response, start_response: StartResponse, last: bool
+    response: Response, start_response: StartResponse, close_connection: bool
 ) -> Iterable[bytes]:
-    """Give a response to the WSGI server; the last one closes its connection."""
+    """Pass a response to the WSGI server, and have it close the connection if asked."""
     phrase = HTTPStatus(response.status).phrase
     headers = [("Content-Type", response.content_type), *response.headers]
     if isinstance(response.body, list):
         length = sum(len(piece) for piece in response.body)
         headers.append(("Content-Length", str(length)))
-    if last:
+    if close_connection:
         headers.append(("Connection", "close"))
     start_response(f"{response.status} {phrase}", headers)
     return response.body
