--- a/packages/ctl/src/bergamotctl/bills.py
+++ b/packages/ctl/src/bergamotctl/bills.py
@@ -6,7 +6,7 @@
 from click import IntRange, argument, echo, group, option, pass_obj
 
 from bergamotctl.client import Client
-from bergamotctl.context import json_option, leave_on_error
+from bergamotctl.context import exit_on_error, json_option
 from bergamotctl.output import print_json, print_table
 from bergamotwood_core.bill_table import BILLIONTHS_PER_UNIT
 
@@ -21,7 +21,7 @@
 @option("--limit", type=IntRange(1, 1_000), default=20, show_default=True)
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def list_bills(
     client: Client, workspace: str | None, limit: int, as_json: bool
 ) -> None:
@@ -47,7 +47,7 @@
 @argument("request")
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def show(client: Client, request: str, as_json: bool) -> None:
     """Show the bill of REQUEST with all of its attempts."""
     document = client.get(f"/v1/bills/{quote(request, safe='')}")
@@ -71,7 +71,7 @@
 @bill.command()
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def total(client: Client, as_json: bool) -> None:
     """Sum every bill by workspace."""
     totals = client.get("/v1/totals")
@@ -86,7 +86,7 @@
         "output tokens",
         "cost",
     )
-    rows = [_make_row(name, item) for name, item in sorted(totals.items())]
+    rows = [_make_total_row(name, item) for name, item in sorted(totals.items())]
     print_table(headers, rows)
 
 
@@ -100,7 +100,7 @@
 @argument("key")
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def show_claim(client: Client, workspace: str, key: str, as_json: bool) -> None:
     """Show what is known of the idempotency KEY of WORKSPACE."""
     path = f"/v1/claims/{quote(workspace, safe='')}/{quote(key, safe='')}"
@@ -119,7 +119,7 @@
     print_table(("field", "value"), fields.items())
 
 
-def _make_row(workspace: str, item: dict[str, Any]) -> tuple[object, ...]:
+def _make_total_row(workspace: str, item: dict[str, Any]) -> tuple[object, ...]:
     return (
         workspace,
         item["bills"],
--- a/packages/ctl/src/bergamotctl/client.py
+++ b/packages/ctl/src/bergamotctl/client.py
@@ -14,8 +14,8 @@
 from bergamotwood_core.errors import AnswerError, Code, UnreachableError
 
 # Seconds to dial, and seconds without a byte of the answer.
-CONNECT_SECONDS = 3.0
-ANSWER_SECONDS = 15.0
+CONNECT_TIMEOUT_SECONDS = 3.0
+READ_TIMEOUT_SECONDS = 15.0
 ENTRIES_VARIABLE = "BERGAMOTWOOD_ENTRIES"
 KEY_VARIABLE = "BERGAMOTWOOD_OPERATOR_KEY"
 DEFAULT_PORTS = {"http": 80, "https": 443}
@@ -48,9 +48,9 @@
 
     def get(self, path: str, **parameters: object) -> Any:
         """Read a JSON document."""
-        chosen = {name: value for name, value in parameters.items() if value}
-        query = f"?{urlencode(chosen)}" if chosen else ""
-        return self._call("GET", path + query, b"")
+        given = {name: value for name, value in parameters.items() if value}
+        query = f"?{urlencode(given)}" if given else ""
+        return self._request("GET", path + query, b"")
 
     def post(self, path: str, body: bytes = b"") -> Any:
         """Send a body and read the JSON document of the answer.
@@ -64,9 +64,9 @@
         UsageError
             No entry is named, or no key given.
         """
-        return self._call("POST", path, body)
+        return self._request("POST", path, body)
 
-    def _call(self, method: str, path: str, body: bytes) -> Any:
+    def _request(self, method: str, path: str, body: bytes) -> Any:
         if not self.entries:
             raise UsageError(f"name an entry with --entry or {ENTRIES_VARIABLE}")
         if not self.key:
@@ -78,7 +78,7 @@
             except (OSError, ValueError) as error:
                 failures.append(f"{entry}: {error or type(error).__name__}")
                 continue
-            return _read_answer(entry, status, content)
+            return _parse_response(entry, status, content)
         raise UnreachableError("; ".join(failures))
 
     def _send(
@@ -90,15 +90,15 @@
         client = HTTPClient(
             url.hostname,
             url.port or DEFAULT_PORTS[url.scheme],
-            connection_timeout=CONNECT_SECONDS,
-            network_timeout=ANSWER_SECONDS,
+            connection_timeout=CONNECT_TIMEOUT_SECONDS,
+            network_timeout=READ_TIMEOUT_SECONDS,
             ssl=url.scheme == "https",
             ssl_options={"ca_certs": self.ca_file} if self.ca_file else None,
-            ssl_context_factory=_make_context,
+            ssl_context_factory=_make_ssl_context,
         )
         try:
-            answer = client.request(method, path, body, self._make_headers())
-            return answer.status_code, bytes(answer.read())
+            response = client.request(method, path, body, self._make_headers())
+            return response.status_code, bytes(response.read())
         finally:
             client.close()
 
@@ -113,14 +113,14 @@
         return headers
 
 
-def _make_context(cafile: str) -> SSLContext:
+def _make_ssl_context(cafile: str) -> SSLContext:
     """Make a context whose sockets wait in gevent, as the plain ones do."""
     context = SSLContext(PROTOCOL_TLS_CLIENT)
     context.load_verify_locations(cafile)
     return context
 
 
-def _read_answer(entry: str, status: int, content: bytes) -> Any:
+def _parse_response(entry: str, status: int, content: bytes) -> Any:
     try:
         document = decode(content)
     except DecodeError:
@@ -131,13 +131,13 @@
     detail = problem.get("detail") or f"answered with HTTP status {status}"
     raise AnswerError(
         f"{entry}: {detail}",
-        _read_code(problem),
+        _parse_error_code(problem),
         status,
         tuple(map(str, problem.get("faults", ()))),
     )
 
 
-def _read_code(problem: Mapping[str, Any]) -> Code:
+def _parse_error_code(problem: Mapping[str, Any]) -> Code:
     try:
         return Code(problem.get("code"))
     except ValueError:
--- a/packages/ctl/src/bergamotctl/context.py
+++ b/packages/ctl/src/bergamotctl/context.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from enum import IntEnum
 from functools import wraps
-from sys import exit as leave
+from sys import exit as exit_process
 from typing import Any, ParamSpec
 
 from click import echo, option
@@ -19,7 +19,7 @@
 Parameters = ParamSpec("Parameters")
 
 
-class Exit(IntEnum):
+class ExitCode(IntEnum):
     """Exit codes of the command."""
 
     DONE = 0
@@ -34,41 +34,41 @@
     UNAVAILABLE = 9
 
 
-_EXITS = {
-    Code.TICKET_INVALID: Exit.INVALID,
-    Code.TICKET_CONFLICT: Exit.CONFLICT,
-    Code.TICKET_STALE: Exit.CONFLICT,
-    Code.TICKET_UNKNOWN: Exit.NOT_FOUND,
-    Code.UNKNOWN_PATH: Exit.NOT_FOUND,
-    Code.UNAUTHENTICATED: Exit.FORBIDDEN,
-    Code.FORBIDDEN: Exit.FORBIDDEN,
-    Code.NO_QUORUM: Exit.UNAVAILABLE,
-    Code.NOT_LEADER: Exit.UNAVAILABLE,
-    Code.LEDGER_UNAVAILABLE: Exit.UNAVAILABLE,
-    Code.MALFORMED_REQUEST: Exit.INVALID,
-    Code.BODY_TOO_LARGE: Exit.INVALID,
+_EXIT_CODES = {
+    Code.TICKET_INVALID: ExitCode.INVALID,
+    Code.TICKET_CONFLICT: ExitCode.CONFLICT,
+    Code.TICKET_STALE: ExitCode.CONFLICT,
+    Code.TICKET_UNKNOWN: ExitCode.NOT_FOUND,
+    Code.UNKNOWN_PATH: ExitCode.NOT_FOUND,
+    Code.UNAUTHENTICATED: ExitCode.FORBIDDEN,
+    Code.FORBIDDEN: ExitCode.FORBIDDEN,
+    Code.NO_QUORUM: ExitCode.UNAVAILABLE,
+    Code.NOT_LEADER: ExitCode.UNAVAILABLE,
+    Code.LEDGER_UNAVAILABLE: ExitCode.UNAVAILABLE,
+    Code.MALFORMED_REQUEST: ExitCode.INVALID,
+    Code.BODY_TOO_LARGE: ExitCode.INVALID,
 }
 
 # After these it is not known whether a ticket was accepted.
-REPEATABLE = (Exit.UNREACHABLE, Exit.UNAVAILABLE)
+RETRYABLE_EXIT_CODES = (ExitCode.UNREACHABLE, ExitCode.UNAVAILABLE)
 
 json_option = option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
-def choose_exit(error: BergamotwoodError) -> Exit:
+def get_exit_code(error: BergamotwoodError) -> ExitCode:
     """Choose the exit code for an error."""
     match error:
         case UnreachableError():
-            return Exit.UNREACHABLE
+            return ExitCode.UNREACHABLE
         case WaitError():
-            return Exit.NOT_YET
+            return ExitCode.NOT_YET
         case AnswerError():
-            return _EXITS.get(error.code, Exit.FAILED)
+            return _EXIT_CODES.get(error.code, ExitCode.FAILED)
         case _:
-            return Exit.FAILED
+            return ExitCode.FAILED
 
 
-def leave_on_error(
+def exit_on_error(
     function: Callable[Parameters, Any],
 ) -> Callable[Parameters, None]:
     """Print an error with its faults and leave with its exit code."""
@@ -81,9 +81,9 @@
             echo(f"bergamotctl: {error.detail}", err=True)
             for fault in getattr(error, "faults", ()):
                 echo(f"  {fault}", err=True)
-            code = choose_exit(error)
-            if code in REPEATABLE:
+            code = get_exit_code(error)
+            if code in RETRYABLE_EXIT_CODES:
                 echo("  To send the same again is harmless.", err=True)
-            leave(code)
+            exit_process(code)
 
     return run
--- a/packages/ctl/src/bergamotctl/instances.py
+++ b/packages/ctl/src/bergamotctl/instances.py
@@ -5,14 +5,14 @@
 from click import command, echo, pass_obj
 
 from bergamotctl.client import Client
-from bergamotctl.context import json_option, leave_on_error
+from bergamotctl.context import exit_on_error, json_option
 from bergamotctl.output import print_json, print_table
 
 
 @command()
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def status(client: Client, as_json: bool) -> None:
     """Show the state of the entry that answers."""
     document = client.get("/v1/status")
@@ -28,7 +28,7 @@
 @command()
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def endpoints(client: Client, as_json: bool) -> None:
     """List the endpoints that announce themselves."""
     views = client.get("/v1/endpoints")
@@ -53,7 +53,7 @@
 @command()
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def entries(client: Client, as_json: bool) -> None:
     """List the entry instances."""
     views = client.get("/v1/entries")
@@ -66,7 +66,7 @@
 @command()
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def drain(client: Client, as_json: bool) -> None:
     """Begin a graceful shutdown of the entry named by --entry."""
     if len(client.entries) != 1:
@@ -99,16 +99,16 @@
 
 
 def _make_endpoint_row(view: dict[str, Any]) -> tuple[object, ...]:
-    word = view["announcement"]
+    announcement = view["announcement"]
     return (
-        word["id"],
-        word["data_centre"],
-        _format_address(word["address"]),
-        word["kind"],
-        word["state"],
-        word["versions"],
-        word["load"],
-        word["capacity"],
+        announcement["id"],
+        announcement["data_centre"],
+        _format_address(announcement["address"]),
+        announcement["kind"],
+        announcement["state"],
+        announcement["versions"],
+        announcement["load"],
+        announcement["capacity"],
         _format_age(view["heard_seconds_ago"]),
     )
 
--- a/packages/ctl/src/bergamotctl/story.py
+++ b/packages/ctl/src/bergamotctl/logs.py
@@ -9,45 +9,47 @@
 from click import Path as PathType
 from msgspec import DecodeError, json
 
-Line = dict[str, Any]
+LogRecord = dict[str, Any]
 
 # Fields that each line has, or that the story names at its head.
-OMITTED = frozenset(
+OMITTED_FIELDS = frozenset(
     ("message", "message_type", "timestamp", "task_uuid", "task_level", "request")
 )
 # Parts whose lines are about one request; all other lines are changes of belief.
-REQUEST_PARTS = frozenset(("request", "attempt"))
-LOG_FILES = argument(
+REQUEST_MESSAGE_TYPES = frozenset(("request", "attempt"))
+files_argument = argument(
     "files", nargs=-1, type=PathType(exists=True, dir_okay=False, path_type=Path)
 )
 
 
 @command()
 @argument("request")
-@LOG_FILES
+@files_argument
 def explain(request: str, files: tuple[Path, ...]) -> None:
     """Tell what became of a request, from log files or standard input."""
-    lines = [line for line in read_lines(files) if line.get("request") == request]
-    if not lines:
+    records = [
+        record for record in read_records(files) if record.get("request") == request
+    ]
+    if not records:
         raise ClickException(f"{request}: no line of the logs names this request")
-    for line in sort_lines(lines):
-        echo(describe_line(line))
+    for record in sort_records(records):
+        echo(format_record(record))
 
 
 @command()
-@LOG_FILES
+@files_argument
 def timeline(files: tuple[Path, ...]) -> None:
     """Tell in one order what all daemons came to believe."""
-    changes = [
-        line
-        for line in read_lines(files)
-        if line.get("message_type") not in REQUEST_PARTS
+    records = [
+        record
+        for record in read_records(files)
+        if record.get("message_type") not in REQUEST_MESSAGE_TYPES
     ]
-    for line in sort_lines(changes):
-        echo(describe_line(line))
+    for record in sort_records(records):
+        echo(format_record(record))
 
 
-def read_lines(files: Iterable[Path]) -> Iterator[Line]:
+def read_records(files: Iterable[Path]) -> Iterator[LogRecord]:
     """Read log lines; text before the JSON document of a line names its source."""
     paths = list(files)
     if not paths:
@@ -57,44 +59,44 @@
             yield from _read_stream(stream, path.stem)
 
 
-def sort_lines(lines: Iterable[Line]) -> list[Line]:
+def sort_records(records: Iterable[LogRecord]) -> list[LogRecord]:
     """Return lines in the order of their time of day."""
-    return sorted(lines, key=lambda line: line.get("timestamp", 0.0))
+    return sorted(records, key=lambda record: record.get("timestamp", 0.0))
 
 
-def describe_line(line: Line) -> str:
+def format_record(record: LogRecord) -> str:
     """Return a line as a person reads it: time, source, sentence, facts."""
-    facts = " ".join(
-        f"{name}={_describe(value)}"
-        for name, value in line.items()
-        if name not in OMITTED and name != "source"
+    fields = " ".join(
+        f"{name}={_format_value(value)}"
+        for name, value in record.items()
+        if name not in OMITTED_FIELDS and name != "source"
     )
-    at = line.get("timestamp", 0.0)
-    return f"{at:.3f} {line['source'] or '-'} {line.get('message', '?')} {facts}"
+    time = record.get("timestamp", 0.0)
+    return f"{time:.3f} {record['source'] or '-'} {record.get('message', '?')} {fields}"
 
 
-def _read_stream(stream: TextIO, name: str) -> Iterator[Line]:
+def _read_stream(stream: TextIO, name: str) -> Iterator[LogRecord]:
     for text in stream:
         start = text.find("{")
         if start < 0:
             continue
         try:
-            line = json.decode(text[start:])
+            record = json.decode(text[start:])
         except DecodeError:
             # A cut line at the end of a file, or output that is no log line.
             continue
-        if isinstance(line, dict):
-            before = text[:start].split()
-            line["source"] = before[-1] if before else name
-            yield line
+        if isinstance(record, dict):
+            prefix = text[:start].split()
+            record["source"] = prefix[-1] if prefix else name
+            yield record
 
 
-def _describe(value: object) -> str:
+def _format_value(value: object) -> str:
     match value:
         case float():
             return f"{value:g}"
         case list():
-            return "[" + ", ".join(_describe(item) for item in value) + "]"
+            return "[" + ", ".join(_format_value(item) for item in value) + "]"
         case None:
             return "-"
     return str(value)
--- a/packages/ctl/src/bergamotctl/rollouts.py
+++ b/packages/ctl/src/bergamotctl/rollouts.py
@@ -6,7 +6,7 @@
 from msgspec.json import encode
 
 from bergamotctl.client import Client
-from bergamotctl.context import json_option, leave_on_error
+from bergamotctl.context import exit_on_error, json_option
 from bergamotctl.output import print_json, print_table
 from bergamotctl.tickets import submit_ticket, timeout_option
 from bergamotwood_core.errors import AnswerError, Code
@@ -25,7 +25,7 @@
 @rollout.command(name="list")
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def list_rollouts(client: Client, as_json: bool) -> None:
     """List the roll-outs."""
     views = _list_views(client.get("/v1/configuration"))
@@ -40,7 +40,7 @@
 @argument("name")
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def show(client: Client, name: str, as_json: bool) -> None:
     """Show roll-out NAME."""
     views = _list_views(client.get("/v1/configuration"))
@@ -60,7 +60,7 @@
 @preview_option
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def pause(client: Client, name: str, **options: Any) -> None:
     """Pause roll-out NAME: its share of new sessions stays as it is."""
     _change_state(client, name, "paused", **options)
@@ -73,7 +73,7 @@
 @preview_option
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def resume(client: Client, name: str, **options: Any) -> None:
     """Resume the paused roll-out NAME."""
     _change_state(client, name, "running", **options)
@@ -86,7 +86,7 @@
 @preview_option
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def withdraw(client: Client, name: str, **options: Any) -> None:
     """Stop roll-out NAME and withdraw its candidate version."""
     _change_state(client, name, "stopped", **options)
@@ -103,13 +103,13 @@
     as_json: bool,
 ) -> None:
     configuration = client.get("/v1/configuration")
-    chosen = [item for item in configuration["rollouts"] if item["name"] == name]
-    if not chosen:
+    matching = [item for item in configuration["rollouts"] if item["name"] == name]
+    if not matching:
         raise _make_unknown_error(name)
     ticket = {
         "number": configuration["ticket"] + 1,
         "note": f"rollout {name}: {state}",
-        "rollouts": [{**chosen[0], "state": state}],
+        "rollouts": [{**matching[0], "state": state}],
     }
     if preview:
         print_json(ticket)
--- a/packages/ctl/src/bergamotctl/tickets.py
+++ b/packages/ctl/src/bergamotctl/tickets.py
@@ -7,19 +7,19 @@
 from gevent import sleep
 
 from bergamotctl.client import Client
-from bergamotctl.context import json_option, leave_on_error
+from bergamotctl.context import exit_on_error, json_option
 from bergamotctl.output import print_json, print_table
 from bergamotwood_core.errors import AnswerError, Code, WaitError
 
-POLL_SECONDS = 0.2
-SHOWN_NAMES = 3
-DEFAULT_WAIT_SECONDS = 30.0
+POLL_INTERVAL_SECONDS = 0.2
+MAX_SHOWN_NAMES = 3
+DEFAULT_TIMEOUT_SECONDS = 30.0
 
 file_argument = argument("file", type=File("rb"))
 timeout_option = option(
     "--timeout",
     type=float,
-    default=DEFAULT_WAIT_SECONDS,
+    default=DEFAULT_TIMEOUT_SECONDS,
     show_default=True,
     help="Seconds to wait at most.",
 )
@@ -34,7 +34,7 @@
 @file_argument
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def check(client: Client, file: Any, as_json: bool) -> None:
     """Show what the ticket in FILE would change, and its faults.
 
@@ -57,7 +57,7 @@
 @timeout_option
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def apply(client: Client, file: Any, wait: bool, timeout: float, as_json: bool) -> None:
     """Apply the ticket in FILE. To send the same file again is harmless."""
     submit_ticket(client, file.read(), wait, timeout, as_json)
@@ -68,12 +68,12 @@
 @timeout_option
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def wait_for_number(client: Client, number: int, timeout: float, as_json: bool) -> None:
     """Wait until ticket NUMBER is in force at every live entry."""
     index = client.get(f"/v1/tickets/{number}")["index"]
-    waited = wait_for_index(client, index, timeout)
-    document = {"number": number, "index": index, "seconds": waited}
+    waited_seconds = wait_for_index(client, index, timeout)
+    document = {"number": number, "index": index, "seconds": waited_seconds}
     if as_json:
         print_json(document)
     else:
@@ -84,7 +84,7 @@
 @argument("number", type=IntRange(min=1))
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def show(client: Client, number: int, as_json: bool) -> None:
     """Show what became of ticket NUMBER."""
     document = client.get(f"/v1/tickets/{number}")
@@ -98,7 +98,7 @@
 @option("--limit", type=IntRange(1, 1_000), default=20, show_default=True)
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def list_tickets(client: Client, limit: int, as_json: bool) -> None:
     """List the newest accepted tickets."""
     records = client.get("/v1/tickets", limit=limit)
@@ -164,30 +164,30 @@
     WaitError
         Some entry still lacks it.
     """
-    began = monotonic()
+    started_at = monotonic()
     while True:
         entries = client.get("/v1/entries")
-        late = [_name_entry(item) for item in entries if _is_late(item, index)]
-        waited = monotonic() - began
-        if entries and not late:
-            return waited
-        if waited >= timeout:
-            names = ", ".join(late) or "no entry is known yet"
+        lagging = [_describe_entry(item) for item in entries if _is_behind(item, index)]
+        waited_seconds = monotonic() - started_at
+        if entries and not lagging:
+            return waited_seconds
+        if waited_seconds >= timeout:
+            names = ", ".join(lagging) or "no entry is known yet"
             raise WaitError(f"not in force after {timeout:g} s at: {names}")
-        sleep(POLL_SECONDS)
+        sleep(POLL_INTERVAL_SECONDS)
 
 
 def _shorten_names(names: list[str]) -> list[str]:
-    if len(names) <= SHOWN_NAMES:
+    if len(names) <= MAX_SHOWN_NAMES:
         return names
-    return [*names[:SHOWN_NAMES], f"{len(names) - SHOWN_NAMES} more"]
+    return [*names[:MAX_SHOWN_NAMES], f"{len(names) - MAX_SHOWN_NAMES} more"]
 
 
-def _is_late(item: dict[str, Any], index: int) -> bool:
+def _is_behind(item: dict[str, Any], index: int) -> bool:
     return item["report"]["applied"] < index
 
 
-def _name_entry(item: dict[str, Any]) -> str:
+def _describe_entry(item: dict[str, Any]) -> str:
     report = item["report"]
     return f"{report['id']} (index {report['applied']})"
 
--- a/tests/ctl/test_command.py
+++ b/tests/ctl/test_command.py
@@ -6,7 +6,7 @@
 from daemon.test_encryption import Authority
 
 from bergamotctl.command import main
-from bergamotctl.context import Exit
+from bergamotctl.context import ExitCode
 from bergamotwood_core.ledger import (
     Attempt,
     Bill,
@@ -35,8 +35,10 @@
 
 @pytest.fixture
 def call(entry):
-    def run(*arguments, code=Exit.DONE, body=None, key=KEY, entries=(entry.address,)):
-        options = [word for name in entries for word in ("--entry", name)]
+    def run(
+        *arguments, code=ExitCode.DONE, body=None, key=KEY, entries=(entry.address,)
+    ):
+        options = [argument for name in entries for argument in ("--entry", name)]
         environ = {"BERGAMOTWOOD_OPERATOR_KEY": key, "BERGAMOTWOOD_OPERATOR": "wanjiru"}
         result = CliRunner().invoke(main, [*options, *arguments], body, environ)
         assert result.exit_code == code, result.output
@@ -53,30 +55,30 @@
 
 def test_ticket_check_names_every_fault(call):
     ticket = write_ticket(1, remove={"models": ["x"], "services": ["y"]})
-    output = call("ticket", "check", "-", body=ticket, code=Exit.INVALID)
+    output = call("ticket", "check", "-", body=ticket, code=ExitCode.INVALID)
     assert "remove.models: unknown x" in output
     assert "remove.services: unknown y" in output
 
 
-def test_unreadable_ticket_is_refused_with_its_faults(call):
-    output = call("ticket", "apply", "-", body="number: [", code=Exit.INVALID)
+def test_malformed_ticket_is_rejected_with_the_line(call):
+    output = call("ticket", "apply", "-", body="number: [", code=ExitCode.INVALID)
     assert "line 2" in output
 
 
-def test_resent_ticket_gets_the_first_answer_and_a_race_one_winner(call):
+def test_resent_ticket_is_repeated_and_a_conflicting_one_is_rejected(call):
     ticket = write_ticket(3, **SERVICE)
     assert "ticket 3 accepted" in call("ticket", "apply", "-", body=ticket)
     assert "ticket 3 repeated" in call("ticket", "apply", "-", body=ticket)
     other = write_ticket(3, services=[{"name": "members"}])
-    call("ticket", "apply", "-", body=other, code=Exit.CONFLICT)
-    call("ticket", "apply", "-", body=write_ticket(2), code=Exit.CONFLICT)
+    call("ticket", "apply", "-", body=other, code=ExitCode.CONFLICT)
+    call("ticket", "apply", "-", body=write_ticket(2), code=ExitCode.CONFLICT)
 
 
 def test_apply_waits_until_every_entry_has_the_ticket(entry, call):
     output = call("ticket", "apply", "-", "--wait", body=write_ticket(1, **SERVICE))
     assert "in force everywhere" in output
     entry.lag = 1
-    output = call("ticket", "wait", "1", "--timeout", "0.1", code=Exit.NOT_YET)
+    output = call("ticket", "wait", "1", "--timeout", "0.1", code=ExitCode.NOT_YET)
     assert "a (index 0)" in output
 
 
@@ -86,7 +88,7 @@
     listed = json.loads(call("ticket", "list", "--json"))
     assert [item["number"] for item in listed] == [1]
     assert "services/parcels" in call("ticket", "list")
-    call("ticket", "show", "9", code=Exit.NOT_FOUND)
+    call("ticket", "show", "9", code=ExitCode.NOT_FOUND)
 
 
 def test_rollout_changes_are_numbered_tickets(entry, call):
@@ -102,7 +104,7 @@
     assert entry.control.tables.ticket == 8
     assert entry.control.tables.versions["small:2"].state == "withdrawn"
     assert "stopped by ticket 8" in call("rollout", "list")
-    call("rollout", "pause", "none", code=Exit.NOT_FOUND)
+    call("rollout", "pause", "none", code=ExitCode.NOT_FOUND)
 
 
 def test_bills_totals_and_claims_are_shown(entry, call):
@@ -124,7 +126,7 @@
         *("karen", "1", "1", "10", "5", "0.25")
     ]
     assert "done" in call("claim", "show", "karen", "k")
-    call("claim", "show", "karen", "none", code=Exit.NOT_FOUND)
+    call("claim", "show", "karen", "none", code=ExitCode.NOT_FOUND)
 
 
 def test_instances_and_endpoints_are_listed(call):
@@ -136,7 +138,7 @@
 
 def test_drain_asks_one_entry_only(entry, call):
     both = (entry.address, "127.0.0.1:1")
-    call("drain", entries=both, code=Exit.USAGE)
+    call("drain", entries=both, code=ExitCode.USAGE)
     assert not entry.draining
     assert "draining" in call("drain")
     assert entry.draining
@@ -144,14 +146,14 @@
 
 def test_next_entry_is_asked_when_one_cannot_be_reached(entry, call):
     call("status", entries=("127.0.0.1:1", entry.address))
-    output = call("status", entries=("127.0.0.1:1",), code=Exit.UNREACHABLE)
+    output = call("status", entries=("127.0.0.1:1",), code=ExitCode.UNREACHABLE)
     assert "127.0.0.1:1" in output
 
 
-def test_wrong_or_missing_key_and_entry_are_named(call):
-    call("status", key="wrong", code=Exit.FORBIDDEN)
-    assert "--key-file" in call("status", key="", code=Exit.USAGE)
-    assert "--entry" in call("status", entries=(), code=Exit.USAGE)
+def test_wrong_key_missing_key_and_missing_entry_are_reported(call):
+    call("status", key="wrong", code=ExitCode.FORBIDDEN)
+    assert "--key-file" in call("status", key="", code=ExitCode.USAGE)
+    assert "--entry" in call("status", entries=(), code=ExitCode.USAGE)
 
 
 def test_help_needs_no_entry_and_no_key():
@@ -168,7 +170,7 @@
     assert result.exit_code == 0
 
 
-def test_encrypted_entry_is_trusted_by_its_authority_only(tmp_path):
+def test_https_entry_is_accepted_only_with_its_ca_file(tmp_path):
     authority = Authority(tmp_path)
     tls = authority.issue(1)
     fake = FakeEntry(ssl_context=ServerEncryption(tls).context)
@@ -180,6 +182,6 @@
         refused = CliRunner().invoke(main, [*options, "status"], env=environ)
     finally:
         fake.server.stop()
-    assert accepted.exit_code == Exit.DONE, accepted.output
-    assert refused.exit_code == Exit.UNREACHABLE
+    assert accepted.exit_code == ExitCode.DONE, accepted.output
+    assert refused.exit_code == ExitCode.UNREACHABLE
     assert "certificate" in refused.output.lower()
--- a/tests/ctl/test_daemon.py
+++ b/tests/ctl/test_daemon.py
@@ -11,7 +11,7 @@
 from gevent import sleep
 
 from bergamotctl.command import main
-from bergamotctl.context import Exit
+from bergamotctl.context import ExitCode
 from bergamotwood_fakes.launch import launch_module
 
 KEY = "operator key of the test"
@@ -69,7 +69,7 @@
     limit = monotonic() + START_SECONDS
     while True:
         result = call(address, *arguments, body=body)
-        if result.exit_code not in (Exit.UNREACHABLE, Exit.UNAVAILABLE):
+        if result.exit_code not in (ExitCode.UNREACHABLE, ExitCode.UNAVAILABLE):
             return result
         assert monotonic() < limit, result.output
         sleep(0.1)
@@ -81,7 +81,7 @@
     applied = call_when_ready(address, "ticket", "apply", "--wait", "-", body=ticket)
     assert applied.exit_code == 0, applied.output
     conflict = call(address, "ticket", "apply", "-", body=write_ticket(4))
-    assert conflict.exit_code == Exit.CONFLICT
+    assert conflict.exit_code == ExitCode.CONFLICT
     assert "accepted by operator with other content" in conflict.output
     processes[0].kill()
     processes[0].wait()
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -5,9 +5,9 @@
 from bergamotwood_core.gateway.configuration import RouteKind, find_configuration_errors
 from bergamotwood_core.states import EndpointState
 from bergamotwood_platform.documents import (
-    decode_beat,
     decode_configuration,
-    decode_departure,
+    decode_deregistration,
+    decode_heartbeat,
     decode_rollout,
 )
 
@@ -47,7 +47,7 @@
     "limits": {"max_header_bytes": 8192, "idle_timeout_ms": 15000},
     "tenants": [{"name": "circle", "api_keys": ["a", "b"], "priority": 1}],
 }
-BEAT = {
+HEARTBEAT = {
     "service": "pool",
     "address": "10.128.0.9:8080",
     "zone": "karen",
@@ -62,7 +62,7 @@
 }
 
 
-def test_a_configuration_becomes_the_gateways():
+def test_configuration_document_is_converted():
     configuration = decode_configuration(encode(CONFIGURATION))
     assert find_configuration_errors(configuration) == ()
     route = configuration.routes[0]
@@ -91,25 +91,29 @@
         {"tenants": [{"api_keys": []}]},
     ],
 )
-def test_a_configuration_that_cannot_be_read_is_refused(change):
+def test_invalid_configuration_is_rejected(change):
     with pytest.raises(RequestError):
         decode_configuration(encode({**CONFIGURATION, **change}))
 
 
-def test_a_configuration_that_is_cut_short_is_refused_at_every_byte():
+def test_truncated_configuration_is_rejected():
     body = encode(CONFIGURATION)
     for end in range(0, len(body), 7):
         with pytest.raises(RequestError):
             decode_configuration(body[:end])
 
 
-def test_a_heartbeat_becomes_a_beat():
-    beat = decode_beat("i-1", encode(BEAT))
-    assert (beat.endpoint, beat.incarnation, beat.sequence) == ("i-1", BEAT["born"], 4)
-    assert beat.state is EndpointState.SERVING
-    assert beat.warmup_seconds == 0.25
-    assert beat.models == ("small",)
-    leaving = decode_beat("i-1", encode({**BEAT, "state": "draining"}))
+def test_heartbeat_document_is_converted():
+    heartbeat = decode_heartbeat("i-1", encode(HEARTBEAT))
+    assert (heartbeat.endpoint, heartbeat.incarnation, heartbeat.sequence) == (
+        "i-1",
+        HEARTBEAT["born"],
+        4,
+    )
+    assert heartbeat.state is EndpointState.SERVING
+    assert heartbeat.warmup_seconds == 0.25
+    assert heartbeat.models == ("small",)
+    leaving = decode_heartbeat("i-1", encode({**HEARTBEAT, "state": "draining"}))
     assert leaving.state is EndpointState.LEAVING
 
 
@@ -126,25 +130,25 @@
         {"service": None},
     ],
 )
-def test_a_heartbeat_of_another_writer_names_no_endpoint(change):
+def test_heartbeat_with_an_invalid_or_missing_field_is_rejected(change):
     with pytest.raises(RequestError):
-        decode_beat("i-1", encode({**BEAT, **change}))
+        decode_heartbeat("i-1", encode({**HEARTBEAT, **change}))
     for missing in change:
-        rest = {key: value for key, value in BEAT.items() if key != missing}
+        incomplete = {key: value for key, value in HEARTBEAT.items() if key != missing}
         with pytest.raises(RequestError):
-            decode_beat("i-1", encode(rest))
+            decode_heartbeat("i-1", encode(incomplete))
 
 
-def test_a_heartbeat_of_wrong_bytes_is_refused():
+def test_heartbeat_that_is_no_json_object_is_rejected():
     for body in (b"", b"\xff\xfe", b"[]", b"null", b"[" * 20_000):
         with pytest.raises(RequestError):
-            decode_beat("i-1", body)
+            decode_heartbeat("i-1", body)
 
 
-def test_departures_and_rollouts_are_read():
-    assert decode_departure(b"") is None
-    assert decode_departure(b"{}") is None
-    assert decode_departure(b'{"born": 5}') == 5
+def test_deregistration_and_rollout_documents_are_decoded():
+    assert decode_deregistration(b"") is None
+    assert decode_deregistration(b"{}") is None
+    assert decode_deregistration(b'{"born": 5}') == 5
     body = b'{"service": "pool", "target": "v2", "duration_s": 12}'
     assert decode_rollout(body) == ("pool", "v2", 12.0)
     with pytest.raises(RequestError):
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -4,10 +4,10 @@
 from bergamotwood_core.gateway.call import ForwardMetadata, PromptPart
 from bergamotwood_core.ids import EndpointId, ModelName, WorkspaceId
 from bergamotwood_platform.headers import (
-    read_answer,
-    read_call,
-    read_id,
-    write_forward,
+    read_request_id,
+    read_request_metadata,
+    read_response_metadata,
+    write_endpoint_headers,
 )
 
 HEADERS = [
@@ -27,27 +27,27 @@
 ]
 
 
-def test_a_callers_fields_become_terms():
-    terms = read_call(HEADERS)
-    assert terms.request == read_id(HEADERS) == "9c41"
-    assert terms.patience_seconds == 1.5
-    assert terms.key == "secret"
-    assert terms.session == "s-1"
-    assert terms.leaves_model_open
-    assert terms.model == ""
-    assert (terms.prompt_tokens, terms.output_tokens) == (1460, 80)
-    assert terms.prompt == (PromptPart("5c1e07a2", 800), PromptPart("91bd3f06", 410))
-    assert terms.last_event == "12"
+def test_request_headers_are_parsed():
+    metadata = read_request_metadata(HEADERS)
+    assert metadata.request == read_request_id(HEADERS) == "9c41"
+    assert metadata.patience_seconds == 1.5
+    assert metadata.key == "secret"
+    assert metadata.session == "s-1"
+    assert metadata.leaves_model_open
+    assert metadata.model == ""
+    assert (metadata.prompt_tokens, metadata.output_tokens) == (1460, 80)
+    assert metadata.prompt == (PromptPart("5c1e07a2", 800), PromptPart("91bd3f06", 410))
+    assert metadata.last_event == "12"
 
 
 @pytest.mark.parametrize("value", [b"soon", b"-1", b"nan", b"inf", b""])
-def test_a_deadline_that_is_no_time_is_refused(value):
+def test_invalid_deadline_is_rejected(value):
     with pytest.raises(RequestError, match="deadline"):
-        read_call([(b"x-deadline-ms", value)])
+        read_request_metadata([(b"x-deadline-ms", value)])
 
 
-def test_an_endpoint_gets_the_routers_fields_and_never_the_callers_own():
-    terms = ForwardMetadata(
+def test_reserved_fields_of_the_caller_are_replaced():
+    metadata = ForwardMetadata(
         endpoint=EndpointId("i-1"),
         patience_seconds=0.75,
         workspace=WorkspaceId("circle"),
@@ -55,23 +55,23 @@
         urgency=2,
         last_event="14",
     )
-    fields = write_forward(HEADERS, terms)
+    fields = write_endpoint_headers(HEADERS, metadata)
     names = [name for name, _ in fields]
-    held = dict(fields)
+    values = dict(fields)
     assert len(names) == len(set(names))
-    assert held[b"x-deadline-ms"] == b"750"
-    assert held[b"x-expect-instance"] == b"i-1"
-    assert held[b"x-tenant"] == b"circle"
-    assert held[b"x-model"] == b"small"
-    assert held[b"x-request-priority"] == b"2"
-    assert held[b"last-event-id"] == b"14"
-    assert held[b"x-request-id"] == b"9c41"
-    assert held[b"x-prefix-hash"] == dict(HEADERS)[b"x-prefix-hash"]
+    assert values[b"x-deadline-ms"] == b"750"
+    assert values[b"x-expect-instance"] == b"i-1"
+    assert values[b"x-tenant"] == b"circle"
+    assert values[b"x-model"] == b"small"
+    assert values[b"x-request-priority"] == b"2"
+    assert values[b"last-event-id"] == b"14"
+    assert values[b"x-request-id"] == b"9c41"
+    assert values[b"x-prefix-hash"] == dict(HEADERS)[b"x-prefix-hash"]
     assert not {b"x-key", b"x-retention", b"kv-from"} & set(names)
 
 
-def test_a_callers_own_model_and_absence_of_terms_are_kept():
-    fields = write_forward(
+def test_model_of_the_caller_is_kept_and_absent_metadata_adds_no_field():
+    fields = write_endpoint_headers(
         [(b"x-model", b"large"), (b"x-tenant", b"forged")],
         ForwardMetadata(EndpointId("i-1"), 1.0),
     )
@@ -82,10 +82,14 @@
     }
 
 
-def test_an_answers_fields_become_terms():
-    signed = read_answer([(b"x-request-id", b"9"), (b"x-server-signature", b"3e")])
+def test_response_headers_are_parsed():
+    signed = read_response_metadata(
+        [(b"x-request-id", b"9"), (b"x-server-signature", b"3e")]
+    )
     assert (signed.request, signed.is_signed, signed.is_not_run) == ("9", True, False)
-    refused = read_answer([(b"x-not-executed", b"1"), (b"x-confidence", b"40")])
+    refused = read_response_metadata(
+        [(b"x-not-executed", b"1"), (b"x-confidence", b"40")]
+    )
     assert (refused.is_signed, refused.is_not_run) == (False, True)
     assert refused.confidence == 0.4
-    assert read_answer([(b"x-confidence", b"high")]).confidence is None
+    assert read_response_metadata([(b"x-confidence", b"high")]).confidence is None
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -33,14 +33,14 @@
 """
 
 
-def write(tmp_path, text):
+def write_settings(tmp_path, text):
     path = tmp_path / "local.toml"
     path.write_text(text)
     return path
 
 
-def test_an_entry_is_told_where_to_listen_and_whom_to_ask(tmp_path):
-    loaded = load_settings(write(tmp_path, ENTRY))
+def test_entry_settings_are_loaded(tmp_path):
+    loaded = load_settings(write_settings(tmp_path, ENTRY))
     settings = loaded.gateway
     assert settings.instance == "10.1.0.40:7340"
     assert settings.seeds == ("10.1.0.42:7340", "10.2.0.31:7340")
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ('ip = "10.1.0.40"', "", "ip"),
         ("port_range = [7340, 7355]", "port_range = []", "port_range"),
@@ -65,17 +65,19 @@
         ("[zones]", "[zones", "local.toml"),
     ],
 )
-def test_a_faulty_file_is_refused_with_the_place(tmp_path, old, new, said):
-    with pytest.raises(SettingsError, match=said):
-        load_settings(write(tmp_path, ENTRY.replace(old, new)))
+def test_invalid_file_is_rejected_with_the_faulty_key_or_path(
+    tmp_path, old, new, message
+):
+    with pytest.raises(SettingsError, match=message):
+        load_settings(write_settings(tmp_path, ENTRY.replace(old, new)))
 
 
-def test_the_environment_must_name_the_file(monkeypatch):
+def test_missing_environment_variable_is_an_error(monkeypatch):
     monkeypatch.delenv("BERGAMOTWOOD_CONFIG", raising=False)
     with pytest.raises(SettingsError, match="BERGAMOTWOOD_CONFIG"):
         find_settings_file()
 
 
-def test_the_folder_does_not_hide_the_standard_module():
+def test_platform_folder_does_not_shadow_the_standard_module():
     code = "import platform; platform.python_version()"
     assert run([executable, "-c", code], check=False).returncode == 0
--- a/tests/soak/variants/repeats_events.py
+++ b/tests/soak/variants/repeats_events.py
@@ -12,14 +12,14 @@
     streams._is_after = forget
     from bergamotwood_platform import dialect, headers
 
-    write_forward = headers.write_forward
+    write_endpoint_headers = headers.write_endpoint_headers
 
-    def write_from_start(fields, terms):
-        written = write_forward(fields, terms)
+    def write_from_start(fields, metadata):
+        written = write_endpoint_headers(fields, metadata)
         return [item for item in written if item[0] != headers.LAST_EVENT]
 
-    headers.write_forward = write_from_start
-    dialect.write_forward = write_from_start
+    headers.write_endpoint_headers = write_from_start
+    dialect.write_endpoint_headers = write_from_start
 
 
 if __name__ == "__main__":
