--- a/packages/ctl/src/bergamotctl/__init__.py
+++ b/packages/ctl/src/bergamotctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command."""
+"""Command-line tool for operators."""
--- a/packages/ctl/src/bergamotctl/bills.py
+++ b/packages/ctl/src/bergamotctl/bills.py
@@ -1,4 +1,4 @@
-"""Subcommands on bills and claims."""
+"""Subcommands for bills, and for claims of non-idempotent requests."""
 
 from typing import Any
 from urllib.parse import quote
@@ -13,11 +13,11 @@
 
 @group()
 def bill() -> None:
-    """Look at bills."""
+    """List, show and sum bills."""
 
 
 @bill.command(name="list")
-@option("--workspace", help="Only of this workspace.")
+@option("--workspace", help="List only bills of this workspace.")
 @option("--limit", type=IntRange(1, 1_000), default=20, show_default=True)
 @json_option
 @pass_obj
@@ -73,7 +73,7 @@
 @pass_obj
 @exit_on_error
 def total(client: Client, as_json: bool) -> None:
-    """Sum every bill by workspace."""
+    """Show the total of all bills for each workspace."""
     totals = client.get("/v1/totals")
     if as_json:
         print_json(totals)
@@ -92,7 +92,7 @@
 
 @group()
 def claim() -> None:
-    """Look at the claims of non-idempotent requests."""
+    """Show claims of non-idempotent requests."""
 
 
 @claim.command(name="show")
@@ -102,7 +102,7 @@
 @pass_obj
 @exit_on_error
 def show_claim(client: Client, workspace: str, key: str, as_json: bool) -> None:
-    """Show what is known of the idempotency KEY of WORKSPACE."""
+    """Show the claim for the idempotency KEY of WORKSPACE."""
     path = f"/v1/claims/{quote(workspace, safe='')}/{quote(key, safe='')}"
     document = client.get(path)
     if as_json:
--- a/packages/ctl/src/bergamotctl/client.py
+++ b/packages/ctl/src/bergamotctl/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of an entry's interface for operators."""
+"""HTTP client for the operators' interface of an entry."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 from bergamotwood_core.errors import AnswerError, Code, UnreachableError
 
-# Seconds to dial, and seconds without a byte of the answer.
+# The read timeout limits the time without a byte of the response.
 CONNECT_TIMEOUT_SECONDS = 3.0
 READ_TIMEOUT_SECONDS = 15.0
 ENTRIES_VARIABLE = "BERGAMOTWOOD_ENTRIES"
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True)
 class Client:
-    """Asks the entries in turn until one answers.
+    """Sends a request to the entries in turn until one responds.
 
-    A request may reach an entry whose answer is lost and then go to the next
-    one. That is safe: reads change nothing, a ticket is numbered, and a drain
-    is asked of one entry only.
+    If a response is lost, an entry may have carried out a request that the next
+    entry receives again. This is safe: reads change nothing, a ticket with the
+    same number is not applied twice, and a drain request goes to one entry only.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     key : str
         The operator's key.
     operator : str
-        Name that is kept with a ticket.
+        Name that is stored with a ticket.
     ca_file : str or None
         Certificates to trust for `https`.
     """
@@ -47,22 +47,22 @@
     ca_file: str | None = None
 
     def get(self, path: str, **parameters: object) -> Any:
-        """Read a JSON document."""
+        """Send a GET request and return the JSON document of the response."""
         given = {name: value for name, value in parameters.items() if value}
         query = f"?{urlencode(given)}" if given else ""
         return self._request("GET", path + query, b"")
 
     def post(self, path: str, body: bytes = b"") -> Any:
-        """Send a body and read the JSON document of the answer.
+        """Send a body and return the JSON document of the response.
 
         Raises
         ------
         AnswerError
-            The entry refused.
+            The entry rejected the request.
         UnreachableError
-            No entry answered.
+            No entry responded.
         UsageError
-            No entry is named, or no key given.
+            No entry is named or no key is given.
         """
         return self._request("POST", path, body)
 
@@ -114,7 +114,7 @@
 
 
 def _make_ssl_context(cafile: str) -> SSLContext:
-    """Make a context whose sockets wait in gevent, as the plain ones do."""
+    """Return a context whose sockets let other greenlets run while they wait."""
     context = SSLContext(PROTOCOL_TLS_CLIENT)
     context.load_verify_locations(cafile)
     return context
--- a/packages/ctl/src/bergamotctl/command.py
+++ b/packages/ctl/src/bergamotctl/command.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""The command line of `bergamotctl`."""
 
 from os import environ
 from typing import IO
@@ -19,10 +19,14 @@
     "entries_given",
     multiple=True,
     envvar=ENTRIES_VARIABLE,
-    help="Entry to ask, host:port or URL; repeat it to name others to try next.",
+    help="Entry to send requests to, host:port or URL; repeat to name fallbacks.",
 )
-@option("--key-file", type=File("r"), help=f"File with the key; else {KEY_VARIABLE}.")
-@option("--operator", envvar="BERGAMOTWOOD_OPERATOR", help="Name kept with tickets.")
+@option(
+    "--key-file",
+    type=File("r"),
+    help=f"File with the key; without it, the key in {KEY_VARIABLE} is used.",
+)
+@option("--operator", envvar="BERGAMOTWOOD_OPERATOR", help="Name stored with tickets.")
 @option("--ca-file", help="Certificates to trust for https.")
 @version_option(package_name="bergamotctl")
 @pass_context
--- a/packages/ctl/src/bergamotctl/context.py
+++ b/packages/ctl/src/bergamotctl/context.py
@@ -1,4 +1,4 @@
-"""What every subcommand shares: connection options, output form, exit codes."""
+"""Parts shared by all subcommands: the option --json, exit codes and errors."""
 
 from collections.abc import Callable
 from enum import IntEnum
@@ -49,14 +49,14 @@
     Code.BODY_TOO_LARGE: ExitCode.INVALID,
 }
 
-# After these it is not known whether a ticket was accepted.
+# With these exit codes it is unknown whether a ticket was accepted.
 RETRYABLE_EXIT_CODES = (ExitCode.UNREACHABLE, ExitCode.UNAVAILABLE)
 
 json_option = option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 def get_exit_code(error: BergamotwoodError) -> ExitCode:
-    """Choose the exit code for an error."""
+    """Return the exit code for an error."""
     match error:
         case UnreachableError():
             return ExitCode.UNREACHABLE
@@ -71,7 +71,7 @@
 def exit_on_error(
     function: Callable[Parameters, Any],
 ) -> Callable[Parameters, None]:
-    """Print an error with its faults and leave with its exit code."""
+    """Make a command print an error with its faults and exit with its code."""
 
     @wraps(function)
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -83,7 +83,7 @@
                 echo(f"  {fault}", err=True)
             code = get_exit_code(error)
             if code in RETRYABLE_EXIT_CODES:
-                echo("  To send the same again is harmless.", err=True)
+                echo("  Sending the same request again is harmless.", err=True)
             exit_process(code)
 
     return run
--- a/packages/ctl/src/bergamotctl/instances.py
+++ b/packages/ctl/src/bergamotctl/instances.py
@@ -1,4 +1,4 @@
-"""Subcommands on instances and endpoints."""
+"""Subcommands for instances and endpoints."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 @pass_obj
 @exit_on_error
 def status(client: Client, as_json: bool) -> None:
-    """Show the state of the entry that answers."""
+    """Show the state of the entry that responds."""
     document = client.get("/v1/status")
     if as_json:
         print_json(document)
@@ -68,9 +68,9 @@
 @pass_obj
 @exit_on_error
 def drain(client: Client, as_json: bool) -> None:
-    """Begin a graceful shutdown of the entry named by --entry."""
+    """Start a graceful shutdown of the entry named by --entry."""
     if len(client.entries) != 1:
-        echo("bergamotctl: name one entry with --entry", err=True)
+        echo("bergamotctl: name exactly one entry with --entry", err=True)
         raise SystemExit(2)
     document = client.post("/v1/drain")
     if as_json:
--- a/packages/ctl/src/bergamotctl/logs.py
+++ b/packages/ctl/src/bergamotctl/logs.py
@@ -1,4 +1,4 @@
-"""Stories told from log files: one request, or what all daemons came to believe."""
+"""Subcommands that read log files: the history of a request, or state changes."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -11,11 +11,11 @@
 
 LogRecord = dict[str, Any]
 
-# Fields that each line has, or that the story names at its head.
+# Fields that are in every record or that the output shows elsewhere.
 OMITTED_FIELDS = frozenset(
     ("message", "message_type", "timestamp", "task_uuid", "task_level", "request")
 )
-# Parts whose lines are about one request; all other lines are changes of belief.
+# Types of records about a single request; all others record a change of state.
 REQUEST_MESSAGE_TYPES = frozenset(("request", "attempt"))
 files_argument = argument(
     "files", nargs=-1, type=PathType(exists=True, dir_okay=False, path_type=Path)
@@ -26,7 +26,10 @@
 @argument("request")
 @files_argument
 def explain(request: str, files: tuple[Path, ...]) -> None:
-    """Tell what became of a request, from log files or standard input."""
+    """Show what happened to REQUEST, ordered by time.
+
+    Reads standard input if no FILES are given.
+    """
     records = [
         record for record in read_records(files) if record.get("request") == request
     ]
@@ -39,7 +42,10 @@
 @command()
 @files_argument
 def timeline(files: tuple[Path, ...]) -> None:
-    """Tell in one order what all daemons came to believe."""
+    """Show state changes logged by all daemons, ordered by time.
+
+    Reads standard input if no FILES are given.
+    """
     records = [
         record
         for record in read_records(files)
@@ -50,7 +56,7 @@
 
 
 def read_records(files: Iterable[Path]) -> Iterator[LogRecord]:
-    """Read log lines; text before the JSON document of a line names its source."""
+    """Read log records; the word before the JSON document of a line is its source."""
     paths = list(files)
     if not paths:
         yield from _read_stream(sys.stdin, "")
@@ -60,12 +66,12 @@
 
 
 def sort_records(records: Iterable[LogRecord]) -> list[LogRecord]:
-    """Return lines in the order of their time of day."""
+    """Return records in the order of their timestamps."""
     return sorted(records, key=lambda record: record.get("timestamp", 0.0))
 
 
 def format_record(record: LogRecord) -> str:
-    """Return a line as a person reads it: time, source, sentence, facts."""
+    """Format a record as one line: time, source, message and other fields."""
     fields = " ".join(
         f"{name}={_format_value(value)}"
         for name, value in record.items()
@@ -83,7 +89,7 @@
         try:
             record = json.decode(text[start:])
         except DecodeError:
-            # A cut line at the end of a file, or output that is no log line.
+            # A truncated line at the end of a file, or other output of the process.
             continue
         if isinstance(record, dict):
             prefix = text[:start].split()
--- a/packages/ctl/src/bergamotctl/rollouts.py
+++ b/packages/ctl/src/bergamotctl/rollouts.py
@@ -1,4 +1,4 @@
-"""Subcommands on roll-outs; each change is a numbered ticket."""
+"""Subcommands for roll-outs; each change is sent as a numbered ticket."""
 
 from typing import Any
 
@@ -11,15 +11,15 @@
 from bergamotctl.tickets import submit_ticket, timeout_option
 from bergamotwood_core.errors import AnswerError, Code
 
-wait_option = option("--wait", is_flag=True, help="Wait until it is in force.")
+wait_option = option("--wait", is_flag=True, help="Wait until the change is in force.")
 preview_option = option(
-    "--preview", is_flag=True, help="Print the ticket and do not apply it."
+    "--preview", is_flag=True, help="Print the ticket without applying it."
 )
 
 
 @group()
 def rollout() -> None:
-    """Look at roll-outs, pause them and withdraw their candidates."""
+    """Show, pause and resume roll-outs, and withdraw candidates."""
 
 
 @rollout.command(name="list")
--- a/packages/ctl/src/bergamotctl/tickets.py
+++ b/packages/ctl/src/bergamotctl/tickets.py
@@ -1,4 +1,4 @@
-"""Subcommands on tickets."""
+"""Subcommands for tickets."""
 
 from time import monotonic
 from typing import Any
@@ -21,7 +21,7 @@
     type=float,
     default=DEFAULT_TIMEOUT_SECONDS,
     show_default=True,
-    help="Seconds to wait at most.",
+    help="Maximum wait in seconds.",
 )
 
 
@@ -36,7 +36,7 @@
 @pass_obj
 @exit_on_error
 def check(client: Client, file: Any, as_json: bool) -> None:
-    """Show what the ticket in FILE would change, and its faults.
+    """Show what the ticket in FILE would change and what is wrong with it.
 
     Nothing is applied. FILE is YAML or JSON; - reads standard input.
     """
@@ -47,19 +47,23 @@
         _print_changes(document["changes"])
     if document["faults"]:
         faults = tuple(document["faults"])
-        detail = "the ticket would be refused"
+        detail = "the ticket would be rejected"
         raise AnswerError(detail, Code.TICKET_INVALID, 200, faults)
 
 
 @ticket.command()
 @file_argument
-@option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
+@option(
+    "--wait",
+    is_flag=True,
+    help="Wait until the ticket is in force at every live entry.",
+)
 @timeout_option
 @json_option
 @pass_obj
 @exit_on_error
 def apply(client: Client, file: Any, wait: bool, timeout: float, as_json: bool) -> None:
-    """Apply the ticket in FILE. To send the same file again is harmless."""
+    """Apply the ticket in FILE. Applying the same file again is harmless."""
     submit_ticket(client, file.read(), wait, timeout, as_json)
 
 
@@ -86,7 +90,7 @@
 @pass_obj
 @exit_on_error
 def show(client: Client, number: int, as_json: bool) -> None:
-    """Show what became of ticket NUMBER."""
+    """Show the record of ticket NUMBER."""
     document = client.get(f"/v1/tickets/{number}")
     if as_json:
         print_json(document)
@@ -121,14 +125,14 @@
 def submit_ticket(
     client: Client, body: bytes, wait: bool, timeout: float, as_json: bool
 ) -> None:
-    """Apply a ticket, say what became of it, and wait for it if asked to.
+    """Apply a ticket, print its outcome and, if requested, wait until it is in force.
 
     Raises
     ------
     AnswerError
-        The ticket was refused.
+        The ticket was rejected.
     WaitError
-        It was accepted, but is not yet in force everywhere.
+        The ticket was accepted but is not yet in force at every live entry.
     """
     answer = client.post("/v1/tickets", body)
     if as_json:
@@ -143,16 +147,16 @@
 
 
 def wait_for_index(client: Client, index: int, timeout: float) -> float:
-    """Wait until every live entry has applied an index.
+    """Wait until every live entry has applied a log index.
 
     Parameters
     ----------
     client : Client
-        Asks the entries.
+        Client of the entries.
     index : int
         Log index of the ticket.
     timeout : float
-        Seconds to wait at most.
+        Maximum wait in seconds.
 
     Returns
     -------
@@ -162,7 +166,7 @@
     Raises
     ------
     WaitError
-        Some entry still lacks it.
+        An entry has not applied the index in time.
     """
     started_at = monotonic()
     while True:
--- a/tests/ctl/fakeentry.py
+++ b/tests/ctl/fakeentry.py
@@ -1,4 +1,4 @@
-"""A stand-in of an entry's interface for operators, over the real machines."""
+"""Fake of the operators' interface of an entry, on the real state machines."""
 
 from json import dumps
 from re import fullmatch
--- a/tests/platform/test_api.py
+++ b/tests/platform/test_api.py
@@ -23,7 +23,7 @@
 
 
 class FakeExchange:
-    """A call and its answer, without a connection."""
+    """A request and its response, without a connection."""
 
     def __init__(self, method, target, body=b""):
         self.request = HttpRequest(method.encode(), target.encode(), [], body, 0.0)
