--- a/packages/ctl/src/bergamotctl/tickets.py
+++ b/packages/ctl/src/bergamotctl/tickets.py
@@ -1,4 +1,4 @@
-"""Subcommands on tickets."""
+"""Subcommands for tickets."""
 
 from time import monotonic
 from typing import Any
@@ -7,21 +7,21 @@
 from gevent import sleep
 
 from bergamotctl.client import Client
-from bergamotctl.context import json_option, leave_on_error
+from bergamotctl.context import exit_on_error, json_option
 from bergamotctl.output import print_json, print_table
 from bergamotwood_core.errors import AnswerError, Code, WaitError
 
-POLL_SECONDS = 0.2
-SHOWN_NAMES = 3
-DEFAULT_WAIT_SECONDS = 30.0
+POLL_INTERVAL_SECONDS = 0.2
+MAX_SHOWN_NAMES = 3
+DEFAULT_TIMEOUT_SECONDS = 30.0
 
 file_argument = argument("file", type=File("rb"))
 timeout_option = option(
     "--timeout",
     type=float,
-    default=DEFAULT_WAIT_SECONDS,
+    default=DEFAULT_TIMEOUT_SECONDS,
     show_default=True,
-    help="Seconds to wait at most.",
+    help="Maximum wait in seconds.",
 )
 
 
@@ -34,9 +34,9 @@
 @file_argument
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def check(client: Client, file: Any, as_json: bool) -> None:
-    """Show what the ticket in FILE would change, and its faults.
+    """Show what the ticket in FILE would change and what is wrong with it.
 
     Nothing is applied. FILE is YAML or JSON; - reads standard input.
     """
@@ -47,19 +47,23 @@
         _print_changes(document["changes"])
     if document["faults"]:
         faults = tuple(document["faults"])
-        detail = "the ticket would be refused"
+        detail = "the ticket would be rejected"
         raise AnswerError(detail, Code.TICKET_INVALID, 200, faults)
 
 
 @ticket.command()
 @file_argument
-@option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
+@option(
+    "--wait",
+    is_flag=True,
+    help="Wait until the ticket is in force at every live entry.",
+)
 @timeout_option
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def apply(client: Client, file: Any, wait: bool, timeout: float, as_json: bool) -> None:
-    """Apply the ticket in FILE. To send the same file again is harmless."""
+    """Apply the ticket in FILE. Applying the same file again is harmless."""
     submit_ticket(client, file.read(), wait, timeout, as_json)
 
 
@@ -68,12 +72,12 @@
 @timeout_option
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def wait_for_number(client: Client, number: int, timeout: float, as_json: bool) -> None:
     """Wait until ticket NUMBER is in force at every live entry."""
     index = client.get(f"/v1/tickets/{number}")["index"]
-    waited = wait_for_index(client, index, timeout)
-    document = {"number": number, "index": index, "seconds": waited}
+    waited_seconds = wait_for_index(client, index, timeout)
+    document = {"number": number, "index": index, "seconds": waited_seconds}
     if as_json:
         print_json(document)
     else:
@@ -84,9 +88,9 @@
 @argument("number", type=IntRange(min=1))
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def show(client: Client, number: int, as_json: bool) -> None:
-    """Show what became of ticket NUMBER."""
+    """Show the record of ticket NUMBER."""
     document = client.get(f"/v1/tickets/{number}")
     if as_json:
         print_json(document)
@@ -98,7 +102,7 @@
 @option("--limit", type=IntRange(1, 1_000), default=20, show_default=True)
 @json_option
 @pass_obj
-@leave_on_error
+@exit_on_error
 def list_tickets(client: Client, limit: int, as_json: bool) -> None:
     """List the newest accepted tickets."""
     records = client.get("/v1/tickets", limit=limit)
@@ -121,14 +125,14 @@
 def submit_ticket(
     client: Client, body: bytes, wait: bool, timeout: float, as_json: bool
 ) -> None:
-    """Apply a ticket, say what became of it, and wait for it if asked to.
+    """Apply a ticket, print its outcome and, if requested, wait until it is in force.
 
     Raises
     ------
     AnswerError
-        The ticket was refused.
+        The ticket was rejected.
     WaitError
-        It was accepted, but is not yet in force everywhere.
+        The ticket was accepted but is not yet in force at every live entry.
     """
     answer = client.post("/v1/tickets", body)
     if as_json:
@@ -143,16 +147,16 @@
 
 
 def wait_for_index(client: Client, index: int, timeout: float) -> float:
-    """Wait until every live entry has applied an index.
+    """Wait until every live entry has applied a log index.
 
     Parameters
     ----------
     client : Client
-        Asks the entries.
+        Client of the entries.
     index : int
         Log index of the ticket.
     timeout : float
-        Seconds to wait at most.
+        Maximum wait in seconds.
 
     Returns
     -------
@@ -162,32 +166,32 @@
     Raises
     ------
     WaitError
-        Some entry still lacks it.
+        An entry has not applied the index in time.
     """
-    began = monotonic()
+    started_at = monotonic()
     while True:
         entries = client.get("/v1/entries")
-        late = [_name_entry(item) for item in entries if _is_late(item, index)]
-        waited = monotonic() - began
-        if entries and not late:
-            return waited
-        if waited >= timeout:
-            names = ", ".join(late) or "no entry is known yet"
+        lagging = [_describe_entry(item) for item in entries if _is_behind(item, index)]
+        waited_seconds = monotonic() - started_at
+        if entries and not lagging:
+            return waited_seconds
+        if waited_seconds >= timeout:
+            names = ", ".join(lagging) or "no entry is known yet"
             raise WaitError(f"not in force after {timeout:g} s at: {names}")
-        sleep(POLL_SECONDS)
+        sleep(POLL_INTERVAL_SECONDS)
 
 
 def _shorten_names(names: list[str]) -> list[str]:
-    if len(names) <= SHOWN_NAMES:
+    if len(names) <= MAX_SHOWN_NAMES:
         return names
-    return [*names[:SHOWN_NAMES], f"{len(names) - SHOWN_NAMES} more"]
+    return [*names[:MAX_SHOWN_NAMES], f"{len(names) - MAX_SHOWN_NAMES} more"]
 
 
-def _is_late(item: dict[str, Any], index: int) -> bool:
+def _is_behind(item: dict[str, Any], index: int) -> bool:
     return item["report"]["applied"] < index
 
 
-def _name_entry(item: dict[str, Any]) -> str:
+def _describe_entry(item: dict[str, Any]) -> str:
     report = item["report"]
     return f"{report['id']} (index {report['applied']})"
 
