--- a/packages/fakes/src/bergamotwood_fakes/announcer.py
+++ b/packages/fakes/src/bergamotwood_fakes/announcer.py
@@ -44,7 +44,7 @@
     ) -> None:
         self._entries = entries
         self._describe = describe
-        self._turn = 0
+        self._entry_index = 0
         self._sequence = 0
         self._state = EndpointState.SERVING
         self._headers = {
@@ -60,8 +60,8 @@
     def run(self) -> None:
         """Announce for ever."""
         while True:
-            heard = self.announce()
-            sleep(INTERVAL_SECONDS if heard else RETRY_SECONDS)
+            accepted = self.announce()
+            sleep(INTERVAL_SECONDS if accepted else RETRY_SECONDS)
 
     def leave(self) -> None:
         """Announce that the endpoint leaves, to each entry until one hears."""
@@ -78,10 +78,10 @@
         announcement = replace(
             self._describe(), sequence=Sequence(self._sequence), state=self._state
         )
-        entry = self._entries[self._turn % len(self._entries)]
+        entry = self._entries[self._entry_index % len(self._entries)]
         if self._post(entry, json.encode(announcement)):
             return True
-        self._turn += 1
+        self._entry_index += 1
         return False
 
     def _post(self, entry: Address, body: bytes) -> bool:
--- a/packages/fakes/src/bergamotwood_fakes/answer.py
+++ b/packages/fakes/src/bergamotwood_fakes/answer.py
@@ -30,10 +30,10 @@
     "violet",
     "willow",
 ]
-SHORTEST_ANSWER = 16
-ANSWER_SPREAD = 48
+MIN_ANSWER_TOKENS = 16
+ANSWER_TOKEN_SPREAD = 48
 QUALITY_SPREAD = 0.3
-QUALITY_MARKER = compile_pattern(r"quality=([01]\.\d{3})")
+QUALITY_PATTERN = compile_pattern(r"quality=([01]\.\d{3})")
 
 
 def digest_messages(messages: list[dict]) -> bytes:
@@ -57,22 +57,22 @@
             return ""
 
 
-def grade_answer(quality: float, messages: list[dict]) -> float:
+def compute_quality(mean_quality: float, messages: list[dict]) -> float:
     """Quality of a version's answer to one prompt, by the prompt's difficulty.
 
     Parameters
     ----------
-    quality : float
+    mean_quality : float
         Mean quality of the version, 0 to 1.
     messages : list of dict
         The chat; its digest sets the difficulty.
     """
     difficulty = int.from_bytes(digest_messages(messages)[:4]) / 2**32 - 0.5
-    return min(1.0, max(0.0, quality - QUALITY_SPREAD * difficulty))
+    return min(1.0, max(0.0, mean_quality - QUALITY_SPREAD * difficulty))
 
 
 def make_answer(
-    version: str, messages: list[dict], grade: float, limit: int | None = None
+    version: str, messages: list[dict], quality: float, limit: int | None = None
 ) -> list[str]:
     """Make the tokens of an answer.
 
@@ -82,7 +82,7 @@
         `model:version` that answers.
     messages : list of dict
         The chat.
-    grade : float
+    quality : float
         Quality of this answer, carried in its text.
     limit : int, optional
         Exact number of tokens; else it follows from the prompt.
@@ -93,8 +93,8 @@
         At least two tokens: version and quality, then words.
     """
     seed = sha256(version.encode() + digest_messages(messages)).digest()
-    count = limit or SHORTEST_ANSWER + seed[0] % ANSWER_SPREAD
-    tokens = [f"{version}", f" quality={grade:.3f}"]
+    count = limit or MIN_ANSWER_TOKENS + seed[0] % ANSWER_TOKEN_SPREAD
+    tokens = [f"{version}", f" quality={quality:.3f}"]
     state = int.from_bytes(seed)
     for position in range(max(0, count - len(tokens))):
         state = (state * 6364136223846793005 + position + 1) % 2**256
@@ -102,16 +102,16 @@
     return tokens
 
 
-def read_grade(answer: str) -> float | None:
+def read_quality(answer: str) -> float | None:
     """Read the quality that an answer carries, None when it has none."""
-    found = QUALITY_MARKER.search(answer)
-    return float(found.group(1)) if found else None
+    match = QUALITY_PATTERN.search(answer)
+    return float(match.group(1)) if match else None
 
 
 def check_answer(answer: str, messages: list[dict], limit: int | None) -> bool:
     """Whether a text is the whole answer of the version that it names."""
-    grade = read_grade(answer)
-    if grade is None:
+    quality = read_quality(answer)
+    if quality is None:
         return False
     version = answer.split(" ", 1)[0]
-    return answer == "".join(make_answer(version, messages, grade, limit))
+    return answer == "".join(make_answer(version, messages, quality, limit))
--- a/packages/fakes/src/bergamotwood_fakes/batch.py
+++ b/packages/fakes/src/bergamotwood_fakes/batch.py
@@ -10,7 +10,7 @@
 from xxhash import xxh64_intdigest
 
 BLOCK_WORDS = 64
-CACHED_SHARE = 0.1
+CACHED_WORD_COST = 0.1
 
 
 class Speed(Struct, frozen=True):
@@ -44,16 +44,16 @@
         self._capacity = capacity
         self._blocks: OrderedDict[int, None] = OrderedDict()
 
-    def take(self, version: str, words: list[str]) -> int:
+    def look_up_and_store(self, version: str, words: list[str]) -> int:
         """Count the cached words at the start of a prompt, and cache all of it."""
         cached = 0
-        broken = False
+        missed = False
         digest = xxh64_intdigest(version.encode())
         for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
             block = " ".join(words[start : start + BLOCK_WORDS])
             digest = xxh64_intdigest(block.encode(), seed=digest)
-            broken = broken or digest not in self._blocks
-            cached += 0 if broken else BLOCK_WORDS
+            missed = missed or digest not in self._blocks
+            cached += 0 if missed else BLOCK_WORDS
             self._store(digest)
         return cached
 
@@ -80,7 +80,7 @@
         self._capacity = capacity
         self._speed = speed
         self._queue: list[tuple[int, int, Event]] = []
-        self._order = count()
+        self._arrival_numbers = count()
         self.running = 0
 
     @property
@@ -88,16 +88,16 @@
         """Requests running or waiting."""
         return self.running + len(self._queue)
 
-    def enter(self, priority: int) -> None:
+    def acquire_slot(self, priority: int) -> None:
         """Wait for a slot; a lower priority number goes first."""
         if self.running < self._capacity:
             self.running += 1
             return
         granted = Event()
-        heappush(self._queue, (priority, next(self._order), granted))
+        heappush(self._queue, (priority, next(self._arrival_numbers), granted))
         granted.wait()
 
-    def leave(self) -> None:
+    def release_slot(self) -> None:
         """Give a slot back, or hand it to the next that waits."""
         if not self._queue:
             self.running -= 1
@@ -107,10 +107,10 @@
 
     def prefill(self, words: int, cached: int) -> None:
         """Spend the time that a prompt takes."""
-        work = words - cached * (1.0 - CACHED_SHARE)
-        sleep(work * self._speed.prefill_seconds)
+        uncached_equivalent = words - cached * (1.0 - CACHED_WORD_COST)
+        sleep(uncached_equivalent * self._speed.prefill_seconds)
 
-    def step(self) -> None:
+    def decode_step(self) -> None:
         """Spend the time of one token in the batch of now."""
-        growth = 1.0 + self._speed.batch_growth * (self.running - 1)
-        sleep(self._speed.token_seconds * growth)
+        slowdown = 1.0 + self._speed.batch_growth * (self.running - 1)
+        sleep(self._speed.token_seconds * slowdown)
--- a/packages/fakes/src/bergamotwood_fakes/caller.py
+++ b/packages/fakes/src/bergamotwood_fakes/caller.py
@@ -9,31 +9,31 @@
 
 from bergamotwood_core.messages import Address
 from bergamotwood_core.states import Run
-from bergamotwood_fakes.fleet import Fleet, call
-from bergamotwood_fakes.member import Member
+from bergamotwood_fakes.fleet import Fleet, send_http_request
+from bergamotwood_fakes.managed_process import ManagedProcess
 from bergamotwood_fakes.record import read_clock
-from bergamotwood_fakes.transcript import Outcome, Request, Transcript, Try
+from bergamotwood_fakes.transcript import Attempt, Outcome, Request, Transcript
 from bergamotwood_fakes.web import parse_address
 
 DONE = b"[DONE]"
 EVENT_PREFIX = b"data:"
-LONGEST_WAIT_SECONDS = 1.0
-SHORTEST_WAIT_SECONDS = 0.05
+MAX_RETRY_DELAY_SECONDS = 1.0
+MIN_RETRY_DELAY_SECONDS = 0.05
 
 
-class Patience(Struct, frozen=True):
+class RetryPolicy(Struct, frozen=True):
     """How long a caller waits and how often it tries.
 
     Parameters
     ----------
-    silence : float
+    idle_timeout_seconds : float
         Seconds without a byte after which a connection is given up.
-    tries : int
+    max_attempts : int
         Sendings of one request at most.
     """
 
-    silence: float = 8.0
-    tries: int = 6
+    idle_timeout_seconds: float = 8.0
+    max_attempts: int = 6
 
 
 class Caller:
@@ -45,18 +45,18 @@
         Where to send.
     random : Random
         Of the choice among addresses.
-    patience : Patience
+    retry_policy : RetryPolicy, optional
         Waits and tries.
     """
 
     def __init__(
-        self, fleet: Fleet, random: Random, patience: Patience | None = None
+        self, fleet: Fleet, random: Random, retry_policy: RetryPolicy | None = None
     ) -> None:
         self._fleet = fleet
         self._random = random
-        self._patience = patience or Patience()
+        self._retry_policy = retry_policy or RetryPolicy()
         self._addresses: list[Address] = []
-        self._kept_until = 0.0
+        self._addresses_expire_at = 0.0
         self.transcripts: list[Transcript] = []
 
     def send(self, request: Request, entries: tuple[str, ...] = ()) -> Transcript:
@@ -71,93 +71,107 @@
         """
         transcript = Transcript(request)
         self.transcripts.append(transcript)
-        for number in range(self._patience.tries):
-            one = self._try(request, self._choose(entries, number))
-            transcript.tries.append(one)
-            if not self._may_resend(request, one):
+        for attempt_number in range(self._retry_policy.max_attempts):
+            attempt = self._send_once(
+                request, self._choose_entry(entries, attempt_number)
+            )
+            transcript.tries.append(attempt)
+            if not self._may_resend(request, attempt):
                 break
-            self._wait(one)
+            self._wait_before_retry(attempt)
         transcript.done = True
         return transcript
 
-    def race(self, request: Request, entries: tuple[str, ...]) -> Transcript:
+    def send_concurrently(
+        self, request: Request, entries: tuple[str, ...]
+    ) -> Transcript:
         """Send one request through several entries at once."""
         transcript = Transcript(request)
         self.transcripts.append(transcript)
-        sending = [
-            gevent.spawn(self._try, request, self._fleet.members[name])
+        greenlets = [
+            gevent.spawn(self._send_once, request, self._fleet.members[name])
             for name in entries
         ]
-        gevent.joinall(sending)
-        transcript.tries.extend(greenlet.value for greenlet in sending)
+        gevent.joinall(greenlets)
+        transcript.tries.extend(greenlet.value for greenlet in greenlets)
         transcript.done = True
         return transcript
 
-    def find_addresses(self) -> list[Address]:
+    def fetch_addresses(self) -> list[Address]:
         """Ask any entry that answers which ones to use."""
         entries = list(self._fleet.entries)
         self._random.shuffle(entries)
         for entry in entries:
-            status, body = call(entry.public, "GET", "/v1/addresses")
+            status, body = send_http_request(entry.public, "GET", "/v1/addresses")
             if status == 200:
-                return self._keep(json.decode(body))
+                return self._cache_addresses(json.decode(body))
         return []
 
-    def _keep(self, answer: dict) -> list[Address]:
+    def _cache_addresses(self, answer: dict) -> list[Address]:
         """Keep an answer of `/v1/addresses` as long as it says."""
-        self._kept_until = read_clock() + answer["ttl_seconds"]
+        self._addresses_expire_at = read_clock() + answer["ttl_seconds"]
         found = [parse_address(row["address"]) for row in answer["addresses"]]
-        self._addresses = [self._fleet.find_public(address) for address in found]
+        self._addresses = [
+            self._fleet.find_public_address(address) for address in found
+        ]
         return self._addresses
 
-    def _choose(self, entries: tuple[str, ...], number: int) -> Member:
+    def _choose_entry(
+        self, entries: tuple[str, ...], attempt_number: int
+    ) -> ManagedProcess:
         """Choose the entry of one try."""
         if entries:
-            return self._fleet.members[entries[number % len(entries)]]
-        if number or not self._addresses or read_clock() > self._kept_until:
-            self.find_addresses()
+            return self._fleet.members[entries[attempt_number % len(entries)]]
+        if (
+            attempt_number
+            or not self._addresses
+            or read_clock() > self._addresses_expire_at
+        ):
+            self.fetch_addresses()
         known = {entry.public: entry for entry in self._fleet.entries}
-        usable = [known[at] for at in self._addresses if at in known]
+        usable = [known[address] for address in self._addresses if address in known]
         return self._random.choice(usable or self._fleet.entries)
 
-    def _may_resend(self, request: Request, one: Try) -> bool:
+    def _may_resend(self, request: Request, attempt: Attempt) -> bool:
         """Whether a careful caller sends a request again after a try."""
-        match one.outcome:
+        match attempt.outcome:
             case Outcome.ANSWERED:
                 return False
             case Outcome.UNREACHABLE:
                 return True
             case Outcome.REFUSED:
-                return one.status in (429, 503, 504) or one.status == 0
+                return attempt.status in (429, 503, 504) or attempt.status == 0
             case _:
                 return request.idempotent or bool(request.key)
 
-    def _wait(self, one: Try) -> None:
+    def _wait_before_retry(self, attempt: Attempt) -> None:
         """Wait before the next try."""
-        wait = max(SHORTEST_WAIT_SECONDS, min(one.retry_after, LONGEST_WAIT_SECONDS))
-        gevent.sleep(wait * self._random.uniform(0.5, 1.0))
+        delay = max(
+            MIN_RETRY_DELAY_SECONDS, min(attempt.retry_after, MAX_RETRY_DELAY_SECONDS)
+        )
+        gevent.sleep(delay * self._random.uniform(0.5, 1.0))
 
-    def _try(self, request: Request, entry: Member) -> Try:
+    def _send_once(self, request: Request, entry: ManagedProcess) -> Attempt:
         """Send a request once, on a connection of its own."""
-        one = Try(entry.name, read_clock())
+        attempt = Attempt(entry.name, read_clock())
         client = HTTPClient(
             entry.public.host,
             entry.public.port,
-            connection_timeout=self._patience.silence,
-            network_timeout=self._patience.silence,
+            connection_timeout=self._retry_policy.idle_timeout_seconds,
+            network_timeout=self._retry_policy.idle_timeout_seconds,
         )
         try:
-            self._exchange(client, request, one)
+            self._exchange(client, request, attempt)
         except ConnectionRefusedError:
-            one.outcome = Outcome.UNREACHABLE
+            attempt.outcome = Outcome.UNREACHABLE
         except Exception as error:
-            one.detail = f"{type(error).__name__}: {error}"
+            attempt.detail = f"{type(error).__name__}: {error}"
         finally:
             client.close()
-            one.ended = read_clock()
-        return one
+            attempt.ended = read_clock()
+        return attempt
 
-    def _exchange(self, client: HTTPClient, request: Request, one: Try) -> None:
+    def _exchange(self, client: HTTPClient, request: Request, attempt: Attempt) -> None:
         """Send a request and read what comes back."""
         response = client.request(
             request.method,
@@ -165,19 +179,19 @@
             body=request.body,
             headers=_make_headers(request),
         )
-        one.status = response.status_code
-        one.request_id = response.get("Bergamotwood-Request", "")
-        one.version = response.get("Bergamotwood-Version", "")
-        one.session = response.get("Bergamotwood-Session", "")
+        attempt.status = response.status_code
+        attempt.request_id = response.get("Bergamotwood-Request", "")
+        attempt.version = response.get("Bergamotwood-Version", "")
+        attempt.session = response.get("Bergamotwood-Session", "")
         if "event-stream" in response.get("Content-Type", ""):
-            _read_stream(_read_events(response), one)
+            _read_stream(_read_events(response), attempt)
             return
         body = bytes(response.read())
-        one.first_token = read_clock() - one.began
-        if one.status >= 400 and "problem" in response.get("Content-Type", ""):
-            _read_problem(json.decode(body), one)
+        attempt.first_token = read_clock() - attempt.began
+        if attempt.status >= 400 and "problem" in response.get("Content-Type", ""):
+            _read_problem(json.decode(body), attempt)
             return
-        _read_whole(body, request, one)
+        _read_complete_answer(body, request, attempt)
 
 
 def _make_headers(request: Request) -> dict[str, str]:
@@ -208,55 +222,55 @@
             yield line.removeprefix(EVENT_PREFIX).strip()
 
 
-def _read_stream(events: Iterator[bytes], one: Try) -> None:
+def _read_stream(events: Iterator[bytes], attempt: Attempt) -> None:
     """Read a streamed answer; only its end marker makes it whole."""
     for data in events:
         if data == DONE:
-            one.outcome = Outcome.ANSWERED
+            attempt.outcome = Outcome.ANSWERED
             return
         event = json.decode(data)
         if "error" in event:
-            _read_problem(event["error"], one)
+            _read_problem(event["error"], attempt)
             return
-        one.first_token = one.first_token or read_clock() - one.began
-        one.request_id = event.get("id", one.request_id)
-        one.version = event.get("model", one.version)
-        one.text += event["choices"][0]["delta"].get("content") or ""
-        _read_receipt(event, one)
+        attempt.first_token = attempt.first_token or read_clock() - attempt.began
+        attempt.request_id = event.get("id", attempt.request_id)
+        attempt.version = event.get("model", attempt.version)
+        attempt.text += event["choices"][0]["delta"].get("content") or ""
+        _read_cost_and_session(event, attempt)
 
 
-def _read_whole(body: bytes, request: Request, one: Try) -> None:
+def _read_complete_answer(body: bytes, request: Request, attempt: Attempt) -> None:
     """Read an answer that came in one piece."""
-    one.outcome = Outcome.ANSWERED
+    attempt.outcome = Outcome.ANSWERED
     if not request.is_chat:
-        one.text = body.decode()
+        attempt.text = body.decode()
         return
     try:
         completion = json.decode(body)
     except DecodeError:
-        one.outcome = Outcome.BROKEN
+        attempt.outcome = Outcome.BROKEN
         return
-    one.text = completion["choices"][0]["message"]["content"] or ""
-    one.request_id = completion.get("id", "")
-    one.version = completion.get("model", "")
-    _read_receipt(completion, one)
+    attempt.text = completion["choices"][0]["message"]["content"] or ""
+    attempt.request_id = completion.get("id", "")
+    attempt.version = completion.get("model", "")
+    _read_cost_and_session(completion, attempt)
 
 
-def _read_receipt(document: dict, one: Try) -> None:
+def _read_cost_and_session(document: dict, attempt: Attempt) -> None:
     """Read cost and session, where the answer tells them."""
-    receipt = document.get("bergamotwood")
-    if receipt is None:
+    extension = document.get("bergamotwood")
+    if extension is None:
         return
-    one.cost = receipt["cost"]
-    one.session = receipt["session"]
+    attempt.cost = extension["cost"]
+    attempt.session = extension["session"]
 
 
-def _read_problem(problem: dict, one: Try) -> None:
+def _read_problem(problem: dict, attempt: Attempt) -> None:
     """Read a problem document."""
-    one.code = problem.get("code", 0)
-    one.run = Run(problem["run"]) if "run" in problem else None
-    one.detail = problem.get("detail", "")
-    one.request_id = problem.get("request", one.request_id)
-    one.retry_after = problem.get("retry_after", 0.0)
-    not_run = one.run is Run.NOT_RUN
-    one.outcome = Outcome.REFUSED if not_run else Outcome.UNKNOWN
+    attempt.code = problem.get("code", 0)
+    attempt.run = Run(problem["run"]) if "run" in problem else None
+    attempt.detail = problem.get("detail", "")
+    attempt.request_id = problem.get("request", attempt.request_id)
+    attempt.retry_after = problem.get("retry_after", 0.0)
+    not_run = attempt.run is Run.NOT_RUN
+    attempt.outcome = Outcome.REFUSED if not_run else Outcome.UNKNOWN
--- a/packages/fakes/src/bergamotwood_fakes/checks.py
+++ b/packages/fakes/src/bergamotwood_fakes/checks.py
@@ -8,13 +8,13 @@
 
 from bergamotwood_core.states import Run
 from bergamotwood_fakes.answer import check_answer
-from bergamotwood_fakes.evidence import Departure, Evidence, Violation
+from bergamotwood_fakes.evidence import Evidence, PlannedStop, Violation
 from bergamotwood_fakes.record import Record
 from bergamotwood_fakes.timeline import Timeline
-from bergamotwood_fakes.transcript import Outcome, Transcript, Try
+from bergamotwood_fakes.transcript import Attempt, Outcome, Transcript
 
-LEAVING_SECONDS = 4.0
-FRESH_AGE_SECONDS = 5.0
+LEAVE_GRACE_SECONDS = 4.0
+MAX_FRESH_AGE_SECONDS = 5.0
 
 
 def check_promises(evidence: Evidence) -> list[Violation]:
@@ -30,7 +30,7 @@
         check_leaving_endpoints,
         check_graceful_shutdown,
         check_configuration,
-        check_surprises,
+        check_unexpected_events,
     )
     return [violation for check in checks for violation in check(evidence)]
 
@@ -45,9 +45,10 @@
             continue
         possible = timeline.find_possible(run.time)
         if not any(
-            run.version in state.allowed.get(workspace, ()) for state in possible
+            run.version in configuration.allowed.get(workspace, ())
+            for configuration in possible
         ):
-            yield Violation("allowed version", f"{workspace} ran {_describe(run)}")
+            yield Violation("allowed version", f"{workspace} ran {_describe_run(run)}")
 
 
 def check_withdrawn_versions(evidence: Evidence) -> Iterator[Violation]:
@@ -55,17 +56,19 @@
     timeline = Timeline(evidence.tickets, evidence.lag)
     for run in evidence.starts:
         possible = timeline.find_possible(run.time)
-        if possible and all(run.version in state.withdrawn for state in possible):
-            yield Violation("withdrawn version", _describe(run))
+        if possible and all(
+            run.version in configuration.withdrawn for configuration in possible
+        ):
+            yield Violation("withdrawn version", _describe_run(run))
 
 
 def check_sessions(evidence: Evidence) -> Iterator[Violation]:
     """Judge that each session kept the version that it started on."""
     versions: dict[str, set[str]] = {}
-    for one in _list_tries(evidence):
-        if one.outcome is Outcome.ANSWERED and one.session:
-            version = one.text.split(" ", 1)[0]
-            versions.setdefault(one.session, set()).add(version)
+    for attempt in _list_attempts(evidence):
+        if attempt.outcome is Outcome.ANSWERED and attempt.session:
+            version = attempt.text.split(" ", 1)[0]
+            versions.setdefault(attempt.session, set()).add(version)
     for session, found in versions.items():
         if len(found) > 1:
             detail = f"session {session[:24]} was answered by {sorted(found)}"
@@ -100,38 +103,41 @@
             detail = f"{request.mark} was answered and has {billed} bills"
             yield Violation("billed once", detail)
         return
-    for one in transcript.tries:
-        if not one.request_id:
+    for attempt in transcript.tries:
+        if not attempt.request_id:
             continue
-        billed = ids[one.request_id]
-        if one.outcome is Outcome.ANSWERED and billed != 1:
-            detail = f"{one.request_id} was answered and has {billed} bills"
+        billed = ids[attempt.request_id]
+        if attempt.outcome is Outcome.ANSWERED and billed != 1:
+            detail = f"{attempt.request_id} was answered and has {billed} bills"
             yield Violation("billed once", detail)
-        if one.outcome is Outcome.REFUSED and billed:
-            detail = f"{one.request_id} was refused as not run and has a bill"
+        if attempt.outcome is Outcome.REFUSED and billed:
+            detail = f"{attempt.request_id} was refused as not run and has a bill"
             yield Violation("billed once", detail)
 
 
 def check_whole_answers(evidence: Evidence) -> Iterator[Violation]:
     """Judge that each answer is the whole answer to its own request."""
     for transcript in evidence.transcripts:
-        for one in transcript.tries:
-            if one.outcome is not Outcome.ANSWERED:
+        for attempt in transcript.tries:
+            if attempt.outcome is not Outcome.ANSWERED:
                 continue
-            if not _is_own_answer(transcript, one):
-                detail = f"{transcript.request.mark} at {one.entry}: {one.text[:60]!r}"
+            if not _is_own_answer(transcript, attempt):
+                detail = (
+                    f"{transcript.request.mark} at {attempt.entry}: "
+                    f"{attempt.text[:60]!r}"
+                )
                 yield Violation("whole answer", detail)
 
 
-def _is_own_answer(transcript: Transcript, one: Try) -> bool:
+def _is_own_answer(transcript: Transcript, attempt: Attempt) -> bool:
     """Whether an answer is whole and belongs to its request."""
     request = transcript.request
     if request.is_chat:
-        return check_answer(one.text, request.messages, request.max_tokens)
-    if one.status >= 400:
+        return check_answer(attempt.text, request.messages, request.max_tokens)
+    if attempt.status >= 400:
         return True
     try:
-        answer = json.decode(one.text)
+        answer = json.decode(attempt.text)
     except DecodeError:
         return False
     digest = sha256(request.body).hexdigest()
@@ -146,31 +152,36 @@
     for run in evidence.starts:
         runs.setdefault(run.mark, []).append(run)
     for transcript in evidence.transcripts:
-        for one in transcript.tries:
-            if one.outcome is not Outcome.REFUSED or one.run is not Run.NOT_RUN:
+        for attempt in transcript.tries:
+            if attempt.outcome is not Outcome.REFUSED or attempt.run is not Run.NOT_RUN:
                 continue
             for run in runs.get(transcript.request.mark, ()):
-                if _belongs(run, one):
-                    detail = f"code {one.code} at {one.entry}, but {_describe(run)}"
+                if _is_run_of_attempt(run, attempt):
+                    detail = (
+                        f"code {attempt.code} at {attempt.entry}, "
+                        f"but {_describe_run(run)}"
+                    )
                     yield Violation("not run", detail)
 
 
-def _belongs(run: Record, one: Try) -> bool:
+def _is_run_of_attempt(run: Record, attempt: Attempt) -> bool:
     """Whether a run at an endpoint is the work of a try."""
-    if one.request_id:
-        return run.request == one.request_id
-    in_time = one.began <= run.time <= one.ended
-    return in_time and run.request.startswith(f"{one.entry}-")
+    if attempt.request_id:
+        return run.request == attempt.request_id
+    started_during_attempt = attempt.began <= run.time <= attempt.ended
+    return started_during_attempt and run.request.startswith(f"{attempt.entry}-")
 
 
 def check_at_most_once(evidence: Evidence) -> Iterator[Violation]:
     """Judge that each non-idempotent request ran at most once."""
-    once = {
+    non_idempotent_marks = {
         transcript.request.mark
         for transcript in evidence.transcripts
         if not transcript.request.idempotent
     }
-    counts = Counter(run.mark for run in evidence.starts if run.mark in once)
+    counts = Counter(
+        run.mark for run in evidence.starts if run.mark in non_idempotent_marks
+    )
     for mark, number in counts.items():
         if number > 1:
             yield Violation("at most once", f"{mark} ran {number} times")
@@ -183,7 +194,9 @@
         if transcript.request.idempotent:
             continue
         answers = {
-            one.text for one in transcript.tries if one.outcome is Outcome.ANSWERED
+            attempt.text
+            for attempt in transcript.tries
+            if attempt.outcome is Outcome.ANSWERED
         }
         if len(answers) > 1:
             detail = f"{transcript.request.mark} has {len(answers)} unlike answers"
@@ -192,34 +205,34 @@
 
 def check_leaving_endpoints(evidence: Evidence) -> Iterator[Violation]:
     """Judge that an endpoint that leaves receives no new work after a while."""
-    for departure in evidence.departures:
-        limit = departure.told + LEAVING_SECONDS
-        end = departure.ended or float("inf")
+    for planned_stop in evidence.departures:
+        limit = planned_stop.told + LEAVE_GRACE_SECONDS
+        end = planned_stop.ended or float("inf")
         for run in evidence.starts:
-            if run.endpoint == departure.name and limit < run.time <= end:
-                late = run.time - departure.told
-                detail = f"{late:.1f} s after it left: {_describe(run)}"
+            if run.endpoint == planned_stop.name and limit < run.time <= end:
+                delay = run.time - planned_stop.told
+                detail = f"{delay:.1f} s after it left: {_describe_run(run)}"
                 yield Violation("leaving endpoint", detail)
 
 
 def check_graceful_shutdown(evidence: Evidence) -> Iterator[Violation]:
     """Judge that a planned stop cut off no request in flight."""
-    for departure in evidence.departures:
-        if departure.exit_code not in (0, None):
-            detail = f"{departure.name} ended with {departure.exit_code}"
+    for planned_stop in evidence.departures:
+        if planned_stop.exit_code not in (0, None):
+            detail = f"{planned_stop.name} ended with {planned_stop.exit_code}"
             yield Violation("graceful shutdown", detail)
-        for one in _list_tries(evidence):
-            if _was_cut(one, departure):
-                detail = f"{departure.name} cut a request: {one.detail}"
+        for attempt in _list_attempts(evidence):
+            if _was_interrupted(attempt, planned_stop):
+                detail = f"{planned_stop.name} cut a request: {attempt.detail}"
                 yield Violation("graceful shutdown", detail)
 
 
-def _was_cut(one: Try, departure: Departure) -> bool:
+def _was_interrupted(attempt: Attempt, planned_stop: PlannedStop) -> bool:
     """Whether a try broke while its entry was stopping."""
-    if one.entry != departure.name or one.outcome is not Outcome.BROKEN:
+    if attempt.entry != planned_stop.name or attempt.outcome is not Outcome.BROKEN:
         return False
-    end = departure.ended or float("inf")
-    return one.began < end and one.ended >= departure.told
+    end = planned_stop.ended or float("inf")
+    return attempt.began < end and attempt.ended >= planned_stop.told
 
 
 def check_configuration(evidence: Evidence) -> Iterator[Violation]:
@@ -250,7 +263,7 @@
             detail = f"{sample.entry} went back to ticket {sample.ticket}"
             yield Violation("configuration", detail)
         newest[process] = max(sample.ticket, newest.get(process, 0))
-        if sample.age is None or sample.age > FRESH_AGE_SECONDS or sample.draining:
+        if sample.age is None or sample.age > MAX_FRESH_AGE_SECONDS or sample.draining:
             continue
         wanted = timeline.find_possible(sample.time)[0].number
         if sample.ticket < wanted and (sample.entry, wanted) not in late:
@@ -259,7 +272,7 @@
             yield Violation("configuration", detail)
 
 
-def check_surprises(evidence: Evidence) -> Iterator[Violation]:
+def check_unexpected_events(evidence: Evidence) -> Iterator[Violation]:
     """Judge that nothing ended by itself."""
     for surprise in evidence.surprises:
         yield Violation("processes", surprise)
@@ -273,12 +286,12 @@
     }
 
 
-def _list_tries(evidence: Evidence) -> Iterator[Try]:
+def _list_attempts(evidence: Evidence) -> Iterator[Attempt]:
     """List the tries of all requests."""
     for transcript in evidence.transcripts:
         yield from transcript.tries
 
 
-def _describe(run: Record) -> str:
+def _describe_run(run: Record) -> str:
     """Describe a run in a line."""
     return f"{run.version} at {run.endpoint}, request {run.request}, {run.mark}"
--- a/packages/fakes/src/bergamotwood_fakes/demo.py
+++ b/packages/fakes/src/bergamotwood_fakes/demo.py
@@ -19,10 +19,10 @@
 EXAMPLES = Path("examples/demo")
 DOCS = Path("docs")
 WORKSPACE = "circles"
-READY_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
 CHAPTER_TOKENS = 300
 CHAPTER_WORDS = 3_000
-WIDTH = 78
+OUTPUT_WIDTH = 78
 SEED = 1
 
 
@@ -59,7 +59,9 @@
         ticket = self._operator.submit(number, content)
         if not ticket.accepted:
             raise DemoError(f"ticket {number} was refused")
-        wait_until(lambda: self._is_ready(number), READY_SECONDS, "ticket in force")
+        wait_until(
+            lambda: self._is_ready(number), READY_TIMEOUT_SECONDS, "ticket in force"
+        )
         echo(f"ticket {number}: in force at {len(self._fleet.entries)} entries")
 
     def run(self, chapter: str) -> None:
@@ -82,12 +84,12 @@
 
     def _is_ready(self, number: int) -> bool:
         """Whether each entry has a ticket in force and knows all endpoints."""
-        wanted = len(self._fleet.plan.engines) + len(self._fleet.plan.services)
+        endpoint_count = len(self._fleet.plan.engines) + len(self._fleet.plan.services)
         for entry in self._fleet.entries:
             status = self._fleet.read_status(entry)
             if status is None or status["ticket"] < number:
                 return False
-            if status["endpoints"] < wanted:
+            if status["endpoints"] < endpoint_count:
                 return False
         return True
 
@@ -100,12 +102,12 @@
 
     def _show(self, transcript: Transcript) -> None:
         """Print an answer, with model, version and cost."""
-        one = transcript.answer
-        version = f"version {one.version}  " if one.version else ""
-        cost = f"cost {one.cost:.4f}  " if one.cost else ""
-        seconds = one.ended - one.began
-        echo(f"  {one.entry}  {version}{cost}{seconds:.2f} s")
-        echo(f"  {one.text[:WIDTH]}")
+        attempt = transcript.answer
+        version = f"version {attempt.version}  " if attempt.version else ""
+        cost = f"cost {attempt.cost:.4f}  " if attempt.cost else ""
+        seconds = attempt.ended - attempt.began
+        echo(f"  {attempt.entry}  {version}{cost}{seconds:.2f} s")
+        echo(f"  {attempt.text[:OUTPUT_WIDTH]}")
 
     def _show_bills(self) -> None:
         """Print the one bill of each request."""
@@ -172,11 +174,11 @@
     if stay:
         show_usage(fleet)
         wait_for_stop()
-    codes = fleet.stop()
-    failed = {name: code for name, code in codes.items() if code != 0}
+    exit_codes = fleet.stop()
+    failed = {name: code for name, code in exit_codes.items() if code != 0}
     if failed:
         raise DemoError(f"not stopped gracefully: {failed}")
-    echo(f"\nstopped {len(codes)} processes gracefully")
+    echo(f"\nstopped {len(exit_codes)} processes gracefully")
 
 
 if __name__ == "__main__":
--- a/packages/fakes/src/bergamotwood_fakes/engine.py
+++ b/packages/fakes/src/bergamotwood_fakes/engine.py
@@ -13,7 +13,7 @@
 from bergamotwood_core.messages import Address, Announcement
 from bergamotwood_core.states import EndpointKind, EndpointState
 from bergamotwood_fakes.announcer import Announcer, make_incarnation
-from bergamotwood_fakes.answer import grade_answer, join_prompt, make_answer
+from bergamotwood_fakes.answer import compute_quality, join_prompt, make_answer
 from bergamotwood_fakes.batch import Batch, PrefixCache, Speed
 from bergamotwood_fakes.fault import Faults
 from bergamotwood_fakes.loader import Loader, Order
@@ -22,20 +22,20 @@
 from bergamotwood_fakes.record import Record, find_unfinished, read_records
 from bergamotwood_fakes.recorder import Identity, Recorder
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
     check_bearer,
-    cut_connection,
-    make_error,
-    make_json,
+    close_connection,
+    make_error_response,
+    make_json_response,
     make_server,
     read_body,
     read_header,
 )
 
-CRASH_STATUS = 13
-FAULT_CHECK_SECONDS = 0.1
+CRASH_EXIT_CODE = 13
+FAULT_POLL_SECONDS = 0.1
 DEFAULT_QUALITY = 0.9
 
 
@@ -98,89 +98,93 @@
         """Requests running or waiting."""
         return self._batch.load
 
-    def answer(self, environ: Environ, start_response: StartResponse):  # noqa: ANN201
+    def handle_request(self, environ: Environ, start_response: StartResponse):  # noqa: ANN201
         """Answer one HTTP request (a WSGI application)."""
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/v1/chat/completions":
-                return self._chat(environ, start_response)
+                return self._handle_chat(environ, start_response)
             case "POST", "/v1/orders":
-                return self._order(environ).send(start_response)
+                return self._handle_order(environ).send(start_response)
             case "POST", "/fault":
                 return self._set_faults(environ).send(start_response)
             case _:
-                return make_error(404, "no such path").send(start_response)
+                return make_error_response(404, "no such path").send(start_response)
 
-    def _set_faults(self, environ: Environ) -> Answer:
+    def _set_faults(self, environ: Environ) -> Response:
         """Replace the faults in force."""
         try:
             self._faults = json.decode(read_body(environ), type=Faults)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
-        return make_json(self._faults)
+            return make_error_response(400, str(error))
+        return make_json_response(self._faults)
 
-    def _order(self, environ: Environ) -> Answer:
+    def _handle_order(self, environ: Environ) -> Response:
         """Take an order to load a version."""
         if not check_bearer(environ, self._order_key):
-            return make_error(401, "wrong key")
+            return make_error_response(401, "wrong key")
         try:
             order = json.decode(read_body(environ), type=Order)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
-        return self._loader.take(order)
+            return make_error_response(400, str(error))
+        return self._loader.execute(order)
 
-    def _chat(self, environ: Environ, start_response: StartResponse):  # noqa: ANN202
+    def _handle_chat(self, environ: Environ, start_response: StartResponse):  # noqa: ANN202
         """Check a chat request and stream its answer."""
         body = read_body(environ)
         try:
             chat = json.decode(body, type=Chat)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error)).send(start_response)
+            return make_error_response(400, str(error)).send(start_response)
         version = read_header(environ, "Bergamotwood-Version") or chat.model
         if version not in self._loader.versions:
-            return make_error(404, f"{version} not loaded").send(start_response)
-        if self._fail(version):
-            return make_error(500, "engine error").send(start_response)
-        first = int(read_header(environ, "Bergamotwood-Resume-From") or 0)
+            return make_error_response(404, f"{version} not loaded").send(
+                start_response
+            )
+        if self._draws_error(version):
+            return make_error_response(500, "engine error").send(start_response)
+        first_index = int(read_header(environ, "Bergamotwood-Resume-From") or 0)
         run = self._recorder.start(environ, body, version)
         start_response("200 OK", [("Content-Type", "text/event-stream")])
-        return self._stream(environ, run, chat, first)
+        return self._stream(environ, run, chat, first_index)
 
-    def _fail(self, version: str) -> bool:
+    def _draws_error(self, version: str) -> bool:
         """Whether the error fault strikes this request."""
-        if not self._faults.concerns(version):
+        if not self._faults.matches(version):
             return False
         return self._random.random() < self._faults.error_rate
 
     def _stream(
-        self, environ: Environ, run: Record, chat: Chat, first: int
+        self, environ: Environ, run: Record, chat: Chat, first_index: int
     ) -> Iterator[bytes]:
         """Run a request in the batch and give its server-sent events."""
-        sent = 0
+        sent_events = 0
         finished = False
-        self._batch.enter(chat.priority)
+        self._batch.acquire_slot(chat.priority)
         try:
-            for event in self._generate(run, chat, first):
+            for event in self._generate_events(run, chat, first_index):
                 yield event
-                sent += 1
+                sent_events += 1
             finished = True
         except BrokenStreamError:
-            cut_connection(environ)
+            close_connection(environ)
         finally:
-            self._batch.leave()
-            self._recorder.end(run, sent, finished)
+            self._batch.release_slot()
+            self._recorder.end(run, sent_events, finished)
 
-    def _generate(self, run: Record, chat: Chat, first: int) -> Iterator[bytes]:
+    def _generate_events(
+        self, run: Record, chat: Chat, first_index: int
+    ) -> Iterator[bytes]:
         """Spend the time of a request and make its events."""
         prompt = join_prompt(chat.messages)
         if self._poison and self._poison in prompt:
-            _exit(CRASH_STATUS)
+            _exit(CRASH_EXIT_CODE)
         words = prompt.split()
-        cached = self._cache.take(run.version, words)
+        cached = self._cache.look_up_and_store(run.version, words)
         sleep(self._faults.extra_latency)
         self._batch.prefill(len(words), cached)
-        grade = grade_answer(self._read_quality(run.version), chat.messages)
-        tokens = make_answer(run.version, chat.messages, grade, chat.max_tokens)
-        yield from self._send_tokens(run.request, tokens, first)
+        quality = compute_quality(self._get_quality(run.version), chat.messages)
+        tokens = make_answer(run.version, chat.messages, quality, chat.max_tokens)
+        yield from self._send_tokens(run.request, tokens, first_index)
         usage = {
             "prompt_tokens": len(words),
             "completion_tokens": len(tokens),
@@ -190,39 +194,39 @@
         yield b"data: [DONE]\n\n"
 
     def _send_tokens(
-        self, request: str, tokens: list[str], first: int
+        self, request: str, tokens: list[str], first_index: int
     ) -> Iterator[bytes]:
         """Make a chunk of each token, at the speed of the batch."""
-        for index in self._order_chunks(first, len(tokens)):
-            self._batch.step()
-            self._interrupt(index)
+        for index in self._order_chunks(first_index, len(tokens)):
+            self._batch.decode_step()
+            self._apply_stream_fault(index)
             yield _make_chunk(request, index, tokens[index])
 
     def _order_chunks(self, first: int, end: int) -> list[int]:
         """Order the indices of chunks as the faults want it."""
         indices = list(range(first, end))
         if self._faults.reorder:
-            for place in range(0, len(indices) - 1, 2):
-                swapped = indices[place + 1], indices[place]
-                indices[place : place + 2] = swapped
+            for position in range(0, len(indices) - 1, 2):
+                swapped = indices[position + 1], indices[position]
+                indices[position : position + 2] = swapped
         if self._faults.repeat:
             indices = [index for index in indices for _ in range(2)]
         return indices
 
-    def _interrupt(self, index: int) -> None:
+    def _apply_stream_fault(self, index: int) -> None:
         """Let the stream break or go silent when a fault says so."""
         faults = self._faults
         if faults.break_after is not None and index >= faults.break_after:
             raise BrokenStreamError
         if faults.silent_after is not None and index >= faults.silent_after:
             while self._faults is faults:
-                sleep(FAULT_CHECK_SECONDS)
+                sleep(FAULT_POLL_SECONDS)
             raise BrokenStreamError
 
-    def _read_quality(self, version: str) -> float:
+    def _get_quality(self, version: str) -> float:
         """Mean quality of a version, or what a fault makes of it."""
         faults = self._faults
-        if faults.bad_quality is not None and faults.concerns(version):
+        if faults.bad_quality is not None and faults.matches(version):
             return faults.bad_quality
         return self._qualities.get(version, DEFAULT_QUALITY)
 
@@ -293,24 +297,24 @@
 ) -> None:
     """Run a model engine stand-in until SIGTERM."""
     suspects = find_unfinished(read_records(records)) if records else []
-    who = Identity(EndpointId(identity), make_incarnation())
+    endpoint_identity = Identity(EndpointId(identity), make_incarnation())
     speed = Speed(token_seconds, batch_growth, prefill_seconds)
     engine = Engine(
         Batch(capacity, speed),
         PrefixCache(cache_blocks),
         loader := Loader(versions, weights, checks_fencing),
-        recorder := Recorder(who, records),
+        recorder := Recorder(endpoint_identity, records),
         _parse_qualities(qualities),
         order_key,
         poison,
     )
-    server = make_server(listen, engine.answer)
+    server = make_server(listen, engine.handle_request)
     address = public or Address(listen.host, server.server_port)
 
     def describe() -> Announcement:
         return Announcement(
-            id=who.id,
-            incarnation=who.incarnation,
+            id=endpoint_identity.id,
+            incarnation=endpoint_identity.incarnation,
             sequence=0,
             address=address,
             data_centre=data_centre,
--- a/packages/fakes/src/bergamotwood_fakes/evidence.py
+++ b/packages/fakes/src/bergamotwood_fakes/evidence.py
@@ -6,7 +6,7 @@
 from bergamotwood_fakes.transcript import Transcript
 
 
-class TicketTry(Struct):
+class TicketSubmission(Struct):
     """A ticket that was submitted.
 
     Parameters
@@ -39,7 +39,7 @@
     draining: bool
 
 
-class Departure(Struct):
+class PlannedStop(Struct):
     """A process that was told to stop, and when it had ended."""
 
     name: str
@@ -57,13 +57,13 @@
         All requests.
     records : list of Record
         What endpoints ran, in order of time.
-    tickets : list of TicketTry
+    tickets : list of TicketSubmission
         In the order in which they were sent.
     bills : list of dict or None
         The ledger as an entry gives it; None when it could not be read.
     samples : list of Sample
         Of the entries' configuration.
-    departures : list of Departure
+    departures : list of PlannedStop
         Planned stops.
     surprises : list of str
         Processes that ended by themselves, and what else went wrong.
@@ -75,10 +75,10 @@
 
     transcripts: list[Transcript]
     records: list[Record]
-    tickets: list[TicketTry]
+    tickets: list[TicketSubmission]
     bills: list[dict] | None
     samples: list[Sample]
-    departures: list[Departure]
+    departures: list[PlannedStop]
     surprises: list[str] = field(default_factory=list)
     kept_tickets: dict[int, bool] = field(default_factory=dict)
     lag: float = 6.0
--- a/packages/fakes/src/bergamotwood_fakes/expectation.py
+++ b/packages/fakes/src/bergamotwood_fakes/expectation.py
@@ -4,7 +4,7 @@
 
 from bergamotwood_fakes.record import Event, Record
 from bergamotwood_fakes.step import ExpectStep
-from bergamotwood_fakes.transcript import Outcome, Transcript, Try
+from bergamotwood_fakes.transcript import Attempt, Outcome, Transcript
 
 
 def find_unmet(
@@ -12,41 +12,51 @@
 ) -> list[str]:
     """List what is expected and does not hold."""
     name = expect.of or "all"
-    faults = [
+    unmet = [
         *_check_outcomes(expect, transcripts),
         *_check_codes(expect, transcripts),
         *_check_runs(expect, transcripts, records),
     ]
     gap = measure_gap(transcripts)
     if expect.longest_gap is not None and gap > expect.longest_gap:
-        faults.append(f"gap of {gap:.1f} s, at most {expect.longest_gap}")
-    return [f"{name}: {fault}" for fault in faults]
+        unmet.append(f"gap of {gap:.1f} s, at most {expect.longest_gap}")
+    return [f"{name}: {detail}" for detail in unmet]
 
 
 def count_outcomes(transcripts: list[Transcript], outcome: Outcome) -> int:
     """Count the requests that ended in one way."""
-    return sum(one.done and one.outcome is outcome for one in transcripts)
+    return sum(
+        transcript.done and transcript.outcome is outcome for transcript in transcripts
+    )
 
 
 def measure_gap(transcripts: list[Transcript]) -> float:
     """Measure the longest time without an answer while requests waited."""
-    ends = sorted(one.answer.ended for one in transcripts if one.answer is not None)
+    ends = sorted(
+        transcript.answer.ended
+        for transcript in transcripts
+        if transcript.answer is not None
+    )
     if not ends:
         return 0.0
-    began = min(one.tries[0].began for one in transcripts if one.tries)
+    began = min(
+        transcript.tries[0].began for transcript in transcripts if transcript.tries
+    )
     longest = 0.0
     for earlier, later in zip([began, *ends], ends, strict=False):
         waiting = [
-            max(earlier, one.tries[0].began)
-            for one in transcripts
-            if one.tries and one.tries[0].began < later and _is_open(one, earlier)
+            max(earlier, transcript.tries[0].began)
+            for transcript in transcripts
+            if transcript.tries
+            and transcript.tries[0].began < later
+            and _is_unanswered(transcript, earlier)
         ]
         if waiting:
             longest = max(longest, later - min(waiting))
     return longest
 
 
-def _is_open(transcript: Transcript, time: float) -> bool:
+def _is_unanswered(transcript: Transcript, time: float) -> bool:
     """Whether a request had no answer yet at a time."""
     return transcript.answer is None or transcript.answer.ended > time
 
@@ -67,8 +77,8 @@
 
 def _check_codes(expect: ExpectStep, transcripts: list[Transcript]) -> Iterator[str]:
     """Check result codes and versions."""
-    tries = [one for transcript in transcripts for one in transcript.tries]
-    given = {one.code for one in tries if one.code}
+    tries = [attempt for transcript in transcripts for attempt in transcript.tries]
+    given = {attempt.code for attempt in tries if attempt.code}
     for code in expect.seen:
         if code not in given:
             yield f"code {code} was never given, only {sorted(given)}"
@@ -77,15 +87,15 @@
             yield f"code {code}: {_find_detail(tries, code)}"
     if expect.versions is None:
         return
-    answered = [one for one in tries if one.outcome is Outcome.ANSWERED]
-    versions = {one.text.split(" ", 1)[0] for one in answered}
+    answered = [attempt for attempt in tries if attempt.outcome is Outcome.ANSWERED]
+    versions = {attempt.text.split(" ", 1)[0] for attempt in answered}
     for version in sorted(versions - set(expect.versions)):
         yield f"answered by {version}"
 
 
-def _find_detail(tries: list[Try], code: int) -> str:
+def _find_detail(tries: list[Attempt], code: int) -> str:
     """Find what the first error of a code said."""
-    return next(one.detail for one in tries if one.code == code)
+    return next(attempt.detail for attempt in tries if attempt.code == code)
 
 
 def _check_runs(
--- a/packages/fakes/src/bergamotwood_fakes/fault.py
+++ b/packages/fakes/src/bergamotwood_fakes/fault.py
@@ -34,6 +34,6 @@
     bad_quality: float | None = None
     bad_version: str = ""
 
-    def concerns(self, version: str) -> bool:
+    def matches(self, version: str) -> bool:
         """Whether faults of versions touch this one."""
         return self.bad_version in ("", version)
--- a/packages/fakes/src/bergamotwood_fakes/fleet.py
+++ b/packages/fakes/src/bergamotwood_fakes/fleet.py
@@ -11,8 +11,8 @@
 from msgspec import json, yaml
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.launch import launch_logged, launch_module, read_started
-from bergamotwood_fakes.member import Member
+from bergamotwood_fakes.launch import launch_logged, launch_module, read_start_message
+from bergamotwood_fakes.managed_process import ManagedProcess
 from bergamotwood_fakes.plan import EnginePlan, FleetPlan, ServicePlan, name_entry
 from bergamotwood_fakes.port import HOST, PortChooser
 from bergamotwood_fakes.record import Record, read_clock, read_records
@@ -24,8 +24,8 @@
 ORDER_KEY = "order-key-of-the-fleet"
 INSTANCE_KEY = "instance-key-of-the-fleet"
 SESSION_SECRET = "session-secret-of-the-fleet"
-CHECK_SECONDS = 0.05
-READY_SECONDS = 30.0
+POLL_SECONDS = 0.05
+READY_TIMEOUT_SECONDS = 30.0
 
 
 class FleetError(Exception):
@@ -38,7 +38,9 @@
 
 
 def wait_until(
-    condition: Callable[[], bool], seconds: float, what: str = "condition"
+    condition: Callable[[], bool],
+    timeout_seconds: float,
+    description: str = "condition",
 ) -> None:
     """Wait for a condition.
 
@@ -47,14 +49,14 @@
     FleetError
         When it does not hold within the time.
     """
-    deadline = read_clock() + seconds
+    deadline = read_clock() + timeout_seconds
     while not condition():
         if read_clock() > deadline:
-            raise FleetError(f"{what}: not within {seconds} s")
-        sleep(CHECK_SECONDS)
+            raise FleetError(f"{description}: not within {timeout_seconds} s")
+        sleep(POLL_SECONDS)
 
 
-def call(
+def send_http_request(
     address: Address, method: str, path: str, body: bytes = b"", key: str = ""
 ) -> tuple[int, bytes]:
     """Call an HTTP interface once.
@@ -90,10 +92,10 @@
 
     def __init__(self, plan: FleetPlan, folder: Path) -> None:
         self.plan = plan
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, ManagedProcess] = {}
         self._folder = folder
         self._ports = PortChooser()
-        self._proxy: Member | None = None
+        self._proxy_process: ManagedProcess | None = None
         self._peers: dict[str, Address] = {}
 
     def __enter__(self) -> "Fleet":
@@ -104,7 +106,7 @@
             member.kill()
 
     @property
-    def entries(self) -> list[Member]:
+    def entries(self) -> list[ManagedProcess]:
         """The daemons."""
         names = {name_entry(number + 1) for number in range(self.plan.entries)}
         return [member for name, member in self.members.items() if name in names]
@@ -114,7 +116,7 @@
         if self.plan.proxy:
             self._add_proxy()
         self._add_platform()
-        self._plan_entries()
+        self._add_entries()
         for engine in self.plan.engines:
             self._add_engine(engine)
         for service in self.plan.services:
@@ -127,23 +129,27 @@
         """Start one process, and let the proxy know it."""
         member = self.members[name]
         member.launch()
-        if self._proxy is not None and member is not self._proxy:
+        if self._proxy_process is not None and member is not self._proxy_process:
             process = {"name": name, "pid": member.process.pid}
-            call(self._proxy.address, "POST", "/processes", json.encode(process))
+            send_http_request(
+                self._proxy_process.address, "POST", "/processes", json.encode(process)
+            )
 
-    def wait_for_status(self, entry: Member) -> None:
+    def wait_for_status(self, entry: ManagedProcess) -> None:
         """Wait until a daemon answers operators."""
 
-        def answers() -> bool:
+        def has_answered() -> bool:
             if not entry.running:
                 raise FleetError(f"{entry.name} ended with {entry.process.poll()}")
             return self.read_status(entry) is not None
 
-        wait_until(answers, READY_SECONDS, f"{entry.name} answers")
+        wait_until(has_answered, READY_TIMEOUT_SECONDS, f"{entry.name} answers")
 
-    def read_status(self, entry: Member) -> dict | None:
+    def read_status(self, entry: ManagedProcess) -> dict | None:
         """Read `/v1/status` of a daemon, None when it does not answer."""
-        status, body = call(entry.address, "GET", "/v1/status", key=OPERATOR_KEY)
+        status, body = send_http_request(
+            entry.address, "GET", "/v1/status", key=OPERATOR_KEY
+        )
         return json.decode(body) if status == 200 else None
 
     def stop(self) -> dict[str, int | None]:
@@ -155,17 +161,17 @@
             Exit code by name.
         """
         daemons = self.entries
-        others = [member for member in self.members.values() if member not in daemons]
-        first = [member for member in others if member.records is not None]
-        last = [member for member in others if member.records is None]
-        codes: dict[str, int | None] = {}
-        for group in (first, daemons, last):
+        fakes = [member for member in self.members.values() if member not in daemons]
+        endpoints = [member for member in fakes if member.records is not None]
+        platform = [member for member in fakes if member.records is None]
+        exit_codes: dict[str, int | None] = {}
+        for group in (endpoints, daemons, platform):
             running = [member for member in group if member.running]
             for member in running:
-                member.ask_to_stop()
+                member.terminate()
             for member in running:
-                codes[member.name] = member.wait()
-        return codes
+                exit_codes[member.name] = member.wait()
+        return exit_codes
 
     def lose_disk(self, name: str) -> None:
         """Remove the data folder of a daemon that does not run."""
@@ -176,17 +182,21 @@
 
     def add_rule(self, rule: Rule) -> int:
         """Put a rule in force at the proxy and return its number."""
-        _, body = call(self._proxy.address, "POST", "/rules", json.encode(rule))
+        _, body = send_http_request(
+            self._proxy_process.address, "POST", "/rules", json.encode(rule)
+        )
         return json.decode(body)["id"]
 
     def clear_rules(self) -> None:
         """Lift all rules of the proxy."""
-        call(self._proxy.address, "DELETE", "/rules")
+        send_http_request(self._proxy_process.address, "DELETE", "/rules")
 
     def set_faults(self, name: str, faults: dict) -> None:
         """Set the faults of a stand-in."""
         body = json.encode(faults)
-        status, answer = call(self.members[name].address, "POST", "/fault", body)
+        status, answer = send_http_request(
+            self.members[name].address, "POST", "/fault", body
+        )
         if status != 200:
             raise FleetError(f"faults of {name}: {answer.decode()}")
 
@@ -196,32 +206,34 @@
         records = [record for path in paths for record in read_records(path)]
         return sorted(records, key=lambda record: record.time)
 
-    def publish(self, name: str, address: Address) -> Address:
+    def publish_address(self, name: str, address: Address) -> Address:
         """Give the address under which others reach a process."""
-        if self._proxy is None:
+        if self._proxy_process is None:
             return address
         target = json.encode({"name": name, "address": address})
-        _, body = call(self._proxy.address, "POST", "/targets", target)
+        _, body = send_http_request(
+            self._proxy_process.address, "POST", "/targets", target
+        )
         return Address(HOST, json.decode(body)["port"])
 
-    def find_public(self, address: Address) -> Address:
+    def find_public_address(self, address: Address) -> Address:
         """Give the public address of a daemon that listens at an address."""
         for entry in self.entries:
             if entry.address == address:
                 return entry.public
         return address
 
-    def _add(
+    def _add_process(
         self,
         name: str,
         address: Address,
         start: Callable[[], Popen],
         records: Path | None = None,
         data_folder: Path | None = None,
-    ) -> Member:
+    ) -> ManagedProcess:
         """Add a member that is not started yet."""
-        public = self.publish(name, address)
-        member = Member(name, address, public, start, records, data_folder)
+        public = self.publish_address(name, address)
+        member = ManagedProcess(name, address, public, start, records, data_folder)
         self.members[name] = member
         return member
 
@@ -229,47 +241,50 @@
         """Choose a free address."""
         return Address(HOST, self._ports.choose())
 
-    def _launch_standin(self, module: str, options: list[str], name: str) -> Popen:
+    def _launch_fake(self, module: str, options: list[str], name: str) -> Popen:
         """Start a stand-in and wait until it listens."""
         log = self._folder / f"{name}.log"
         process = launch_module(f"bergamotwood_fakes.{module}", options, log)
-        read_started(process)
+        read_start_message(process)
         return process
 
     def _add_proxy(self) -> None:
         """Start the proxy, through which all others are published."""
         address = self._choose_address()
         options = ["--listen", str(address)]
-        start = lambda: self._launch_standin("proxy", options, "proxy")  # noqa: E731
-        proxy = self._add("proxy", address, start)
+        start = lambda: self._launch_fake("proxy", options, "proxy")  # noqa: E731
+        proxy = self._add_process("proxy", address, start)
         proxy.launch()
-        self._proxy = proxy
+        self._proxy_process = proxy
 
     def _add_platform(self) -> None:
         """Add the rating service and the weight store."""
-        for name, extra in (
+        for name, extra_options in (
             ("rating", ["--rate", str(self.plan.rating_rate)]),
             ("weights", []),
         ):
             address = self._choose_address()
-            options = ["--listen", str(address), *extra]
-            self._add(
+            options = ["--listen", str(address), *extra_options]
+            self._add_process(
                 name,
                 address,
-                lambda name=name, options=options: self._launch_standin(
+                lambda name=name, options=options: self._launch_fake(
                     name, options, name
                 ),
             )
 
-    def _plan_entries(self) -> None:
+    def _add_entries(self) -> None:
         """Add the daemons and write their settings."""
         for number in range(self.plan.controls):
             name = name_entry(number + 1)
             self._peers[name] = self._choose_address()
-        public = {name: self.publish(name, at) for name, at in self._peers.items()}
+        public_addresses = {
+            name: self.publish_address(name, address)
+            for name, address in self._peers.items()
+        }
         replicas = [
-            {"id": name, "host": at.host, "port": at.port}
-            for name, at in public.items()
+            {"id": name, "host": address.host, "port": address.port}
+            for name, address in public_addresses.items()
         ]
         for number in range(self.plan.entries):
             self._add_entry(number, replicas)
@@ -278,25 +293,25 @@
         """Add one daemon."""
         name = name_entry(number + 1)
         address = self._choose_address()
-        peer = self._peers.get(name) or self._choose_address()
+        peer_address = self._peers.get(name) or self._choose_address()
         folder = self._folder / name
         folder.mkdir()
-        centres = self.plan.data_centres
-        control = name in self._peers
+        data_centres = self.plan.data_centres
+        is_control = name in self._peers
         settings = {
             "instance": name,
-            "data_centre": centres[number % len(centres)],
+            "data_centre": data_centres[number % len(data_centres)],
             "listen": {"host": address.host, "port": address.port},
-            "peer_listen": {"host": peer.host, "port": peer.port},
-            "roles": ["entry", "control"] if control else ["entry"],
+            "peer_listen": {"host": peer_address.host, "port": peer_address.port},
+            "roles": ["entry", "control"] if is_control else ["entry"],
             "replicas": replicas,
             "operator_key_hashes": [hash_key(OPERATOR_KEY)],
             "endpoint_key_hashes": [hash_key(ENDPOINT_KEY)],
             "instance_key": INSTANCE_KEY,
             "session_secret": SESSION_SECRET,
             "order_key": ORDER_KEY,
-            "rating_address": _split(self.members["rating"].public),
-            **({"data_folder": str(folder)} if control else {}),
+            "rating_address": _encode_address(self.members["rating"].public),
+            **({"data_folder": str(folder)} if is_control else {}),
             **self.plan.settings,
         }
         path = self._folder / f"{name}.yaml"
@@ -305,20 +320,24 @@
         start = lambda: launch_logged(  # noqa: E731
             DAEMON_MODULE, ["run", str(path)], log
         )
-        self._add(name, address, start, data_folder=folder if control else None)
+        self._add_process(
+            name, address, start, data_folder=folder if is_control else None
+        )
 
     def _add_engine(self, plan: EnginePlan) -> None:
         """Add an engine stand-in."""
-        fencing = "--checks-fencing" if plan.checks_fencing else "--no-checks-fencing"
+        fencing_option = (
+            "--checks-fencing" if plan.checks_fencing else "--no-checks-fencing"
+        )
         options = [
-            *_repeat("--version", plan.versions),
-            *_repeat("--quality", _list_qualities(self.plan.qualities)),
+            *_repeat_option("--version", plan.versions),
+            *_repeat_option("--quality", _format_qualities(self.plan.qualities)),
             *("--capacity", str(plan.capacity)),
             *("--token-seconds", str(plan.token_seconds)),
             *("--weights", str(self.members["weights"].public)),
             *("--order-key", ORDER_KEY),
             *("--poison", plan.poison),
-            fencing,
+            fencing_option,
         ]
         self._add_endpoint("engine", plan, options)
 
@@ -334,42 +353,47 @@
         name = plan.name
         address = self._choose_address()
         number = len(self.members)
-        centres = self.plan.data_centres
+        data_centres = self.plan.data_centres
         records = self._folder / f"{name}.jsonl"
         entries = self.entries
-        turn = number % len(entries)
-        ordered = entries[turn:] + entries[:turn]
-        public = self.publish(name, address)
-        everything = [
+        first_entry = number % len(entries)
+        ordered_entries = entries[first_entry:] + entries[:first_entry]
+        public = self.publish_address(name, address)
+        all_options = [
             *("--id", name),
             *("--listen", str(address)),
             *("--public", str(public)),
             *("--endpoint-key", ENDPOINT_KEY),
-            *("--data-centre", plan.data_centre or centres[number % len(centres)]),
+            *(
+                "--data-centre",
+                plan.data_centre or data_centres[number % len(data_centres)],
+            ),
             *("--leave-seconds", str(plan.leave_seconds)),
             *("--records", str(records)),
-            *_repeat("--entry", tuple(str(entry.public) for entry in ordered)),
+            *_repeat_option(
+                "--entry", tuple(str(entry.public) for entry in ordered_entries)
+            ),
             *options,
         ]
-        self.members[name] = Member(
+        self.members[name] = ManagedProcess(
             name,
             address,
             public,
-            lambda: self._launch_standin(module, everything, name),
+            lambda: self._launch_fake(module, all_options, name),
             records,
         )
 
 
-def _split(address: Address) -> dict:
+def _encode_address(address: Address) -> dict:
     """Write an address as settings have it."""
     return {"host": address.host, "port": address.port}
 
 
-def _repeat(option: str, values: tuple[str, ...]) -> list[str]:
+def _repeat_option(option: str, values: tuple[str, ...]) -> list[str]:
     """Repeat an option for each value."""
-    return [word for value in values for word in (option, value)]
+    return [argument for value in values for argument in (option, value)]
 
 
-def _list_qualities(qualities: dict[str, float]) -> tuple[str, ...]:
+def _format_qualities(qualities: dict[str, float]) -> tuple[str, ...]:
     """Write qualities as an engine's options have them."""
     return tuple(f"{version}={value}" for version, value in qualities.items())
--- a/packages/fakes/src/bergamotwood_fakes/language.py
+++ b/packages/fakes/src/bergamotwood_fakes/language.py
@@ -67,7 +67,7 @@
     """Check that steps name processes and tickets that there are."""
     plan = scenario.fleet
     entries = {name_entry(number + 1) for number in range(plan.entries)}
-    endpoints = {one.name for one in (*plan.engines, *plan.services)}
+    endpoints = {endpoint.name for endpoint in (*plan.engines, *plan.services)}
     known = entries | endpoints | {"leader", "follower", "rating", "weights"}
     for step in scenario.steps:
         for verb in PROCESS_VERBS:
@@ -82,7 +82,7 @@
 VERBS = tuple(name for name in Step.__struct_fields__ if name not in ("at", "when"))
 
 
-def name_verb(step: Step) -> str:
+def get_verb(step: Step) -> str:
     """Name the one verb of a step.
 
     Raises
--- a/packages/fakes/src/bergamotwood_fakes/launch.py
+++ b/packages/fakes/src/bergamotwood_fakes/launch.py
@@ -8,7 +8,7 @@
 from msgspec import Struct, json
 
 
-class Started(Struct):
+class StartMessage(Struct):
     """The line that a stand-in prints when it listens."""
 
     id: str
@@ -67,7 +67,7 @@
         )
 
 
-def read_started(process: Popen) -> Started:
+def read_start_message(process: Popen) -> StartMessage:
     """Wait for the line that a stand-in prints.
 
     Raises
@@ -78,7 +78,7 @@
     line = process.stdout.readline()
     if not line:
         raise RuntimeError(f"{process.args} ended with {process.wait()}")
-    return json.decode(line, type=Started)
+    return json.decode(line, type=StartMessage)
 
 
 def _make_command(module: str, options: list[str]) -> list[str]:
--- a/packages/fakes/src/bergamotwood_fakes/limit.py
+++ b/packages/fakes/src/bergamotwood_fakes/limit.py
@@ -17,16 +17,16 @@
     def __init__(self, rate: float, burst: int) -> None:
         self._rate = rate
         self._burst = burst
-        self._level = float(burst)
-        self._filled_at = read_clock()
+        self._tokens = float(burst)
+        self._refilled_at = read_clock()
 
     def take(self) -> float:
         """Take one request; 0 when it may pass, else the seconds to wait."""
         now = read_clock()
-        gained = (now - self._filled_at) * self._rate
-        self._level = min(float(self._burst), self._level + gained)
-        self._filled_at = now
-        if self._level < 1.0:
-            return (1.0 - self._level) / self._rate
-        self._level -= 1.0
+        refill = (now - self._refilled_at) * self._rate
+        self._tokens = min(float(self._burst), self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1.0:
+            return (1.0 - self._tokens) / self._rate
+        self._tokens -= 1.0
         return 0.0
--- a/packages/fakes/src/bergamotwood_fakes/link.py
+++ b/packages/fakes/src/bergamotwood_fakes/link.py
@@ -14,9 +14,9 @@
 from bergamotwood_fakes.rule import Action, RuleTable
 
 BLOCK_BYTES = 65_536
-WAITING_BLOCKS = 64
-SHORTEST_DELAY_SECONDS = 0.001
-LONGEST_DELAY_SECONDS = 0.0015
+MAX_QUEUED_BLOCKS = 64
+MIN_DELAY_SECONDS = 0.001
+MAX_DELAY_SECONDS = 0.0015
 
 
 class Link:
@@ -30,7 +30,7 @@
         Faults in force.
     random : Random
         Of the delays.
-    near, far : socket
+    downstream, upstream : socket
         Towards the source and towards the target.
     """
 
@@ -40,27 +40,27 @@
         target: str,
         rules: RuleTable,
         random: Random,
-        near: socket,
-        far: socket,
+        downstream: socket,
+        upstream: socket,
     ) -> None:
         self.source = source
         self.target = target
         self._rules = rules
         self._random = random
-        self._near = near
-        self._far = far
-        self._lost = False
+        self._downstream = downstream
+        self._upstream = upstream
+        self._discards_bytes = False
         self._half_open = False
-        for end in (near, far):
-            end.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
+        for connection in (downstream, upstream):
+            connection.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
     def run(self) -> None:
         """Carry bytes both ways until both ends have closed."""
-        there = gevent.spawn(self._carry, self._near, self._far)
-        back = gevent.spawn(self._carry, self._far, self._near)
-        gevent.joinall([there, back])
-        self._near.close()
-        self._far.close()
+        to_target = gevent.spawn(self._forward, self._downstream, self._upstream)
+        to_source = gevent.spawn(self._forward, self._upstream, self._downstream)
+        gevent.joinall([to_target, to_source])
+        self._downstream.close()
+        self._upstream.close()
 
     def apply(self, action: Action) -> None:
         """Carry out what a new rule does to an open connection.
@@ -72,65 +72,67 @@
             case Action.CUT:
                 self.cut()
             case Action.SILENCE:
-                self.lose()
+                self.discard_bytes()
             case Action.HALF_OPEN:
-                self.open_half()
+                self.make_half_open()
 
-    def lose(self) -> None:
+    def discard_bytes(self) -> None:
         """Lose every byte from now on, while both ends stay open."""
-        self._lost = True
+        self._discards_bytes = True
 
-    def open_half(self) -> None:
+    def make_half_open(self) -> None:
         """Close the target's side; the source is told nothing."""
         self._half_open = True
-        self._lost = True
-        _shut(self._far)
+        self._discards_bytes = True
+        _shut_down(self._upstream)
 
     def cut(self) -> None:
         """Close both sides."""
         self._half_open = False
-        self._lost = False
-        _shut(self._near)
-        _shut(self._far)
+        self._discards_bytes = False
+        _shut_down(self._downstream)
+        _shut_down(self._upstream)
 
-    def _carry(self, origin: socket, destination: socket) -> None:
+    def _forward(self, source: socket, destination: socket) -> None:
         """Carry the bytes of one direction, each block after its delay."""
         blocks: deque[tuple[float, bytes]] = deque()
-        filled = Event()
-        room = Semaphore(WAITING_BLOCKS)
-        writer = gevent.spawn(self._write, blocks, filled, room, destination)
+        block_queued = Event()
+        free_slots = Semaphore(MAX_QUEUED_BLOCKS)
+        writer = gevent.spawn(
+            self._write_blocks, blocks, block_queued, free_slots, destination
+        )
         while True:
-            data = _receive(origin)
-            room.acquire()
+            data = _receive(source)
+            free_slots.acquire()
             blocks.append((read_clock() + self._draw_delay(), data))
-            filled.set()
+            block_queued.set()
             if not data:
                 break
         writer.join()
 
-    def _write(
+    def _write_blocks(
         self,
         blocks: deque[tuple[float, bytes]],
-        filled: Event,
-        room: Semaphore,
+        block_queued: Event,
+        free_slots: Semaphore,
         destination: socket,
     ) -> None:
         """Write blocks when they are due; an empty one closes that way."""
         while True:
-            filled.wait()
-            due, data = blocks.popleft()
+            block_queued.wait()
+            due_at, data = blocks.popleft()
             if not blocks:
-                filled.clear()
-            room.release()
-            gevent.sleep(max(0.0, due - read_clock()))
-            self._wait_for_passage()
-            self._pass(data, destination)
+                block_queued.clear()
+            free_slots.release()
+            gevent.sleep(max(0.0, due_at - read_clock()))
+            self._wait_while_partitioned()
+            self._write_block(data, destination)
             if not data:
                 return
 
-    def _pass(self, data: bytes, destination: socket) -> None:
+    def _write_block(self, data: bytes, destination: socket) -> None:
         """Give a block to the other side, unless it is to be lost."""
-        if self._lost:
+        if self._discards_bytes:
             return
         try:
             if data:
@@ -140,38 +142,38 @@
         except OSError:
             self.cut()
 
-    def _wait_for_passage(self) -> None:
+    def _wait_while_partitioned(self) -> None:
         """Wait while a partition holds this connection back."""
         while self._rules.find(Action.PARTITION, self.source, self.target):
-            self._rules.wait_for_lift()
+            self._rules.wait_for_removal()
 
     def _draw_delay(self) -> float:
         """Draw the one-way delay of a block, in seconds."""
-        drawn = self._random.uniform(SHORTEST_DELAY_SECONDS, LONGEST_DELAY_SECONDS)
-        return drawn + self._rules.sum_delay(self.source, self.target)
+        base_delay = self._random.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
+        return base_delay + self._rules.sum_delay(self.source, self.target)
 
 
-def dial(address: Address, seconds: float) -> socket | None:
+def connect_to_target(address: Address, timeout_seconds: float) -> socket | None:
     """Dial a target, None when it does not answer within some seconds."""
     try:
-        far = create_connection((address.host, address.port), seconds)
+        connection = create_connection((address.host, address.port), timeout_seconds)
     except OSError:
         return None
-    far.settimeout(None)
-    return far
+    connection.settimeout(None)
+    return connection
 
 
-def _receive(origin: socket) -> bytes:
+def _receive(source: socket) -> bytes:
     """Receive a block; empty when the end has closed."""
     try:
-        return origin.recv(BLOCK_BYTES)
+        return source.recv(BLOCK_BYTES)
     except OSError:
         return b""
 
 
-def _shut(end: socket) -> None:
+def _shut_down(connection: socket) -> None:
     """Shut a socket down in both directions."""
     try:
-        end.shutdown(SHUT_RDWR)
+        connection.shutdown(SHUT_RDWR)
     except OSError:
         return
--- a/packages/fakes/src/bergamotwood_fakes/loader.py
+++ b/packages/fakes/src/bergamotwood_fakes/loader.py
@@ -5,11 +5,11 @@
 from msgspec import Struct
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.web import Answer, make_error, make_json
+from bergamotwood_fakes.web import Response, make_error_response, make_json_response
 
 TIMEOUT_SECONDS = 30.0
 DEFAULT_RETRY_SECONDS = 0.2
-LOAD_ATTEMPTS = 50
+MAX_FETCH_ATTEMPTS = 50
 
 
 class Order(Struct):
@@ -43,37 +43,39 @@
         self.versions = dict.fromkeys(versions)
         self._weights = weights
         self._checks_fencing = checks_fencing
-        self._newest = (0, 0)
+        self._newest_token = (0, 0)
 
-    def take(self, order: Order) -> Answer:
+    def execute(self, order: Order) -> Response:
         """Carry out an order, or refuse it."""
         token = (order.term, order.index)
-        if self._checks_fencing and token < self._newest:
-            return make_error(409, f"fencing token {token} is older than newest")
-        self._newest = max(self._newest, token)
+        if self._checks_fencing and token < self._newest_token:
+            return make_error_response(
+                409, f"fencing token {token} is older than newest"
+            )
+        self._newest_token = max(self._newest_token, token)
         match order.order:
             case "load":
                 return self._load(order.version)
             case "unload":
                 self.versions.pop(order.version, None)
-                return make_json({"versions": list(self.versions)})
+                return make_json_response({"versions": list(self.versions)})
             case _:
-                return make_error(400, f"unknown order {order.order}")
+                return make_error_response(400, f"unknown order {order.order}")
 
-    def _load(self, version: str) -> Answer:
+    def _load(self, version: str) -> Response:
         """Fetch a version's weights unless they are there."""
         if version in self.versions:
-            return make_json({"versions": list(self.versions)})
+            return make_json_response({"versions": list(self.versions)})
         if self._weights is not None and not self._fetch(self._weights, version):
-            return make_error(500, f"weight store did not give {version}")
+            return make_error_response(500, f"weight store did not give {version}")
         self.versions[version] = None
-        return make_json({"versions": list(self.versions)})
+        return make_json_response({"versions": list(self.versions)})
 
     def _fetch(self, store: Address, version: str) -> bool:
         """Fetch weights, waiting when the store is at its limit."""
         client = HTTPClient(store.host, store.port, network_timeout=TIMEOUT_SECONDS)
         try:
-            for _ in range(LOAD_ATTEMPTS):
+            for _ in range(MAX_FETCH_ATTEMPTS):
                 response = client.get(f"/v1/weights/{version}")
                 response.read()
                 if response.status_code != 429:
--- a/packages/fakes/src/bergamotwood_fakes/member.py
+++ b/packages/fakes/src/bergamotwood_fakes/managed_process.py
@@ -10,10 +10,10 @@
 from bergamotwood_core.messages import Address
 from bergamotwood_fakes.record import read_clock
 
-STOP_SECONDS = 40.0
+STOP_TIMEOUT_SECONDS = 40.0
 
 
-class Member(Struct):
+class ManagedProcess(Struct):
     """A process that can be started, stopped and hurt by its name.
 
     Parameters
@@ -61,12 +61,12 @@
             self.process.send_signal(SIGKILL)
             self.process.wait()
 
-    def ask_to_stop(self) -> None:
+    def terminate(self) -> None:
         """Send the process the signal of a graceful shutdown."""
         self.left_at.append(read_clock())
         self.process.send_signal(SIGTERM)
 
-    def wait(self, seconds: float = STOP_SECONDS) -> int | None:
+    def wait(self, seconds: float = STOP_TIMEOUT_SECONDS) -> int | None:
         """Wait for the end of the process.
 
         Returns
@@ -83,6 +83,6 @@
         """Stop the process where it stands."""
         self.process.send_signal(SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let a paused process go on."""
         self.process.send_signal(SIGCONT)
--- a/packages/fakes/src/bergamotwood_fakes/operator.py
+++ b/packages/fakes/src/bergamotwood_fakes/operator.py
@@ -6,15 +6,15 @@
 from msgspec import json
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.evidence import TicketTry
-from bergamotwood_fakes.fleet import OPERATOR_KEY, Fleet, FleetError, call
+from bergamotwood_fakes.evidence import TicketSubmission
+from bergamotwood_fakes.fleet import OPERATOR_KEY, Fleet, FleetError, send_http_request
 from bergamotwood_fakes.record import read_clock
 
-PATIENCE_SECONDS = 30.0
+RETRY_TIMEOUT_SECONDS = 30.0
 RETRY_SECONDS = 0.3
-CREATED = (200, 201)
-REFUSED = (409, 422)
-MOST_BILLS = 1_000
+ACCEPTED_STATUSES = (200, 201)
+REFUSED_STATUSES = (409, 422)
+MAX_BILLS = 1_000
 
 
 class Operator:
@@ -32,19 +32,21 @@
         self._fleet = fleet
         self._random = random
         self._number = 0
-        self.tickets: list[TicketTry] = []
+        self.tickets: list[TicketSubmission] = []
 
     @property
-    def newest(self) -> int:
+    def newest_accepted(self) -> int:
         """Number of the newest accepted ticket."""
-        return max((one.number for one in self.tickets if one.accepted), default=0)
+        return max(
+            (ticket.number for ticket in self.tickets if ticket.accepted), default=0
+        )
 
-    def take_number(self) -> int:
+    def allocate_number(self) -> int:
         """Take the next number of a ticket."""
         self._number += 1
         return self._number
 
-    def submit(self, number: int, content: dict, entry: str = "") -> TicketTry:
+    def submit(self, number: int, content: dict, entry: str = "") -> TicketSubmission:
         """Submit a ticket until it is accepted or refused.
 
         Raises
@@ -52,14 +54,14 @@
         FleetError
             When no answer came of any attempt.
         """
-        ticket = TicketTry(number, {"number": number, **content}, read_clock())
+        ticket = TicketSubmission(number, {"number": number, **content}, read_clock())
         self.tickets.append(ticket)
         body = json.encode(ticket.content)
         status = 0
-        while read_clock() < ticket.sent + PATIENCE_SECONDS:
-            status, answer = self._post(self._choose(entry), body)
-            if status in CREATED or status in REFUSED:
-                ticket.accepted = status in CREATED
+        while read_clock() < ticket.sent + RETRY_TIMEOUT_SECONDS:
+            status, answer = self._post(self._choose_address(entry), body)
+            if status in ACCEPTED_STATUSES or status in REFUSED_STATUSES:
+                ticket.accepted = status in ACCEPTED_STATUSES
                 ticket.answered = read_clock()
                 return ticket
             if status == 400:
@@ -67,12 +69,14 @@
             gevent.sleep(RETRY_SECONDS)
         raise FleetError(f"ticket {number}: no answer, last status {status}")
 
-    def race(self, content: dict, rival: dict) -> list[TicketTry]:
+    def submit_concurrently(self, content: dict, rival: dict) -> list[TicketSubmission]:
         """Submit two tickets with one number at once."""
-        number = self.take_number()
-        rivals = [gevent.spawn(self.submit, number, one) for one in (content, rival)]
-        gevent.joinall(rivals, raise_error=True)
-        return [greenlet.value for greenlet in rivals]
+        number = self.allocate_number()
+        submissions = [
+            gevent.spawn(self.submit, number, each) for each in (content, rival)
+        ]
+        gevent.joinall(submissions, raise_error=True)
+        return [greenlet.value for greenlet in submissions]
 
     def is_kept(self, number: int) -> bool:
         """Whether any entry still knows a ticket."""
@@ -80,13 +84,15 @@
 
     def read_bills(self) -> list[dict] | None:
         """Read the ledger, None when no entry gives it."""
-        return self._get(f"/v1/bills?limit={MOST_BILLS}")
+        return self._get(f"/v1/bills?limit={MAX_BILLS}")
 
     def _get(self, path: str) -> object | None:
         """Read a path of any entry that gives it."""
-        deadline = read_clock() + PATIENCE_SECONDS
+        deadline = read_clock() + RETRY_TIMEOUT_SECONDS
         while read_clock() < deadline:
-            status, body = call(self._choose(""), "GET", path, key=OPERATOR_KEY)
+            status, body = send_http_request(
+                self._choose_address(""), "GET", path, key=OPERATOR_KEY
+            )
             if status == 200:
                 return json.decode(body)
             if status == 404:
@@ -96,11 +102,15 @@
 
     def _post(self, address: Address, body: bytes) -> tuple[int, bytes]:
         """Post a ticket once."""
-        return call(address, "POST", "/v1/tickets", body, OPERATOR_KEY)
+        return send_http_request(address, "POST", "/v1/tickets", body, OPERATOR_KEY)
 
-    def _choose(self, entry: str) -> Address:
+    def _choose_address(self, entry: str) -> Address:
         """Choose where to submit."""
         if entry:
             return self._fleet.members[entry].public
-        running = [one for one in self._fleet.entries if one.running]
+        running = [
+            entry_process
+            for entry_process in self._fleet.entries
+            if entry_process.running
+        ]
         return self._random.choice(running or self._fleet.entries).public
--- a/packages/fakes/src/bergamotwood_fakes/port.py
+++ b/packages/fakes/src/bergamotwood_fakes/port.py
@@ -15,14 +15,14 @@
 
     def __init__(self) -> None:
         self._random = Random(getpid())
-        self._taken: set[int] = set()
+        self._chosen: set[int] = set()
 
     def choose(self) -> int:
         """Choose a free port."""
         while True:
             port = self._random.randint(LOWEST_PORT, HIGHEST_PORT)
-            if port not in self._taken and _is_free(port):
-                self._taken.add(port)
+            if port not in self._chosen and _is_free(port):
+                self._chosen.add(port)
                 return port
 
 
--- a/packages/fakes/src/bergamotwood_fakes/process.py
+++ b/packages/fakes/src/bergamotwood_fakes/process.py
@@ -11,11 +11,11 @@
 from bergamotwood_fakes.announcer import Announcer
 from bergamotwood_fakes.recorder import Recorder
 
-IDLE_CHECK_SECONDS = 0.05
-STOP_SECONDS = 1.0
+IDLE_POLL_SECONDS = 0.05
+STOP_TIMEOUT_SECONDS = 1.0
 
 
-def print_started(identity: str, kind: str, port: int) -> None:
+def print_start_message(identity: str, kind: str, port: int) -> None:
     """Print the one line that tells the starter which port was taken."""
     line = json.encode({"id": identity, "kind": kind, "port": port})
     stdout.write(line.decode() + "\n")
@@ -25,17 +25,17 @@
 def wait_for_stop() -> None:
     """Wait for SIGTERM or SIGINT."""
     stopped = Event()
-    for number in (SIGTERM, SIGINT):
-        gevent.signal_handler(number, stopped.set)
+    for signal_number in (SIGTERM, SIGINT):
+        gevent.signal_handler(signal_number, stopped.set)
     stopped.wait()
 
 
-def run_plain(server: WSGIServer, identity: str, kind: str) -> None:
+def run_until_stopped(server: WSGIServer, identity: str, kind: str) -> None:
     """Run a stand-in that announces nothing until it is told to stop."""
     server.start()
-    print_started(identity, kind, server.server_port)
+    print_start_message(identity, kind, server.server_port)
     wait_for_stop()
-    server.stop(timeout=STOP_SECONDS)
+    server.stop(timeout=STOP_TIMEOUT_SECONDS)
 
 
 def run_endpoint(
@@ -62,13 +62,13 @@
         How long it goes on to serve after it said that it leaves.
     """
     server.start()
-    print_started(identity, kind, server.server_port)
-    announcing = gevent.spawn(announcer.run)
+    print_start_message(identity, kind, server.server_port)
+    announcer_task = gevent.spawn(announcer.run)
     wait_for_stop()
     recorder.leaving = True
     announcer.leave()
     gevent.sleep(leave_seconds)
     while recorder.running:
-        gevent.sleep(IDLE_CHECK_SECONDS)
-    announcing.kill()
-    server.stop(timeout=STOP_SECONDS)
+        gevent.sleep(IDLE_POLL_SECONDS)
+    announcer_task.kill()
+    server.stop(timeout=STOP_TIMEOUT_SECONDS)
--- a/packages/fakes/src/bergamotwood_fakes/proxy.py
+++ b/packages/fakes/src/bergamotwood_fakes/proxy.py
@@ -9,24 +9,24 @@
 from msgspec import DecodeError, Struct, ValidationError, json
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.link import Link, dial
+from bergamotwood_fakes.link import Link, connect_to_target
 from bergamotwood_fakes.option import LISTEN
-from bergamotwood_fakes.peername import find_owner
-from bergamotwood_fakes.process import run_plain
+from bergamotwood_fakes.process import run_until_stopped
 from bergamotwood_fakes.rule import Action, Rule, RuleTable
+from bergamotwood_fakes.socket_owner import find_connection_owner
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
-    make_error,
-    make_json,
+    make_error_response,
+    make_json_response,
     make_server,
     open_listener,
     read_body,
 )
 
-DIAL_SECONDS = 2.0
-UNKNOWN = "caller"
+CONNECT_TIMEOUT_SECONDS = 2.0
+UNKNOWN_SOURCE = "caller"
 
 
 class Target(Struct):
@@ -59,42 +59,50 @@
         self._processes: dict[str, int] = {}
         self._servers: list[StreamServer] = []
 
-    def answer(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
+    def handle_request(
+        self, environ: Environ, start_response: StartResponse
+    ) -> list[bytes]:
         """Answer one request of the control interface (a WSGI application)."""
         try:
-            return self._control(environ).send(start_response)
+            return self._handle_control_request(environ).send(start_response)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error)).send(start_response)
+            return make_error_response(400, str(error)).send(start_response)
 
-    def _control(self, environ: Environ) -> Answer:
+    def _handle_control_request(self, environ: Environ) -> Response:
         """Carry out one request of the control interface."""
         body = read_body(environ)
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/targets":
-                return make_json({"port": self._listen(json.decode(body, type=Target))})
+                return make_json_response(
+                    {"port": self._listen(json.decode(body, type=Target))}
+                )
             case "POST", "/processes":
                 process = json.decode(body, type=Process)
                 self._processes[process.name] = process.pid
-                return make_json(process)
+                return make_json_response(process)
             case "POST", "/rules":
-                return make_json({"id": self._enforce(json.decode(body, type=Rule))})
+                return make_json_response(
+                    {"id": self._add_rule(json.decode(body, type=Rule))}
+                )
             case "DELETE", "/rules":
                 self._rules.clear()
-                return make_json({})
+                return make_json_response({})
             case "DELETE", path if path.startswith("/rules/"):
                 removed = self._rules.remove(int(path.removeprefix("/rules/")))
-                return make_json({}, 200 if removed else 404)
+                return make_json_response({}, 200 if removed else 404)
             case "GET", "/links":
-                pairs = [(link.source, link.target) for link in self._links]
-                return make_json(pairs)
+                connections = [(link.source, link.target) for link in self._links]
+                return make_json_response(connections)
             case _:
-                return make_error(404, "no such path")
+                return make_error_response(404, "no such path")
 
     def _listen(self, target: Target) -> int:
         """Open a port that leads to a target."""
 
-        def handle(near: socket, peer: tuple[str, int]) -> None:
-            self._connect(near, peer[1], server.server_port, target)
+        def handle(downstream: socket, peer_address: tuple[str, int]) -> None:
+            self._forward_connection(
+                downstream, peer_address[1], server.server_port, target
+            )
 
         listener = open_listener(Address("127.0.0.1", 0))
         server = StreamServer(listener, handle)
@@ -102,37 +110,44 @@
         self._servers.append(server)
         return server.server_port
 
-    def _connect(self, near: socket, peer: int, port: int, target: Target) -> None:
+    def _forward_connection(
+        self, downstream: socket, source_port: int, proxy_port: int, target: Target
+    ) -> None:
         """Carry a new connection until it ends."""
-        source = find_owner(self._processes, peer, port) or UNKNOWN
-        if self._refuses(source, target.name):
-            near.close()
+        source = (
+            find_connection_owner(self._processes, source_port, proxy_port)
+            or UNKNOWN_SOURCE
+        )
+        if self._refuses_connection(source, target.name):
+            downstream.close()
             return
-        far = dial(target.address, DIAL_SECONDS)
-        if far is None:
-            near.close()
+        upstream = connect_to_target(target.address, CONNECT_TIMEOUT_SECONDS)
+        if upstream is None:
+            downstream.close()
             return
-        link = Link(source, target.name, self._rules, self._random, near, far)
+        link = Link(
+            source, target.name, self._rules, self._random, downstream, upstream
+        )
         silence = self._rules.find(Action.SILENCE, source, target.name)
         if silence is not None and silence.new_too:
-            link.lose()
+            link.discard_bytes()
         self._links.add(link)
         try:
             link.run()
         finally:
             self._links.discard(link)
 
-    def _refuses(self, source: str, target: str) -> bool:
+    def _refuses_connection(self, source: str, target: str) -> bool:
         """Whether a rule refuses a new connection."""
         if self._rules.find(Action.CUT, source, target):
             return True
         drop = self._rules.find(Action.DROP, source, target)
         return drop is not None and self._random.random() < drop.share
 
-    def _enforce(self, rule: Rule) -> int:
+    def _add_rule(self, rule: Rule) -> int:
         """Put a rule in force, also for the connections that are open."""
         for link in list(self._links):
-            if rule.concerns(link.source, link.target):
+            if rule.matches(link.source, link.target):
                 link.apply(rule.action)
         return self._rules.add(rule)
 
@@ -143,9 +158,9 @@
 def main(listen: Address, seed: int) -> None:
     """Run a fault-injecting proxy until SIGTERM."""
     proxy = Proxy(seed)
-    server = make_server(listen, proxy.answer)
+    server = make_server(listen, proxy.handle_request)
     gevent.get_hub().NOT_ERROR += (ConnectionError,)
-    run_plain(server, "proxy", "proxy")
+    run_until_stopped(server, "proxy", "proxy")
 
 
 if __name__ == "__main__":
--- a/packages/fakes/src/bergamotwood_fakes/rating.py
+++ b/packages/fakes/src/bergamotwood_fakes/rating.py
@@ -7,16 +7,16 @@
 from msgspec import DecodeError, Struct, ValidationError, json
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.answer import read_grade
+from bergamotwood_fakes.answer import read_quality
 from bergamotwood_fakes.limit import RateLimit
 from bergamotwood_fakes.option import LISTEN
-from bergamotwood_fakes.process import run_plain
+from bergamotwood_fakes.process import run_until_stopped
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
-    make_error,
-    make_json,
+    make_error_response,
+    make_json_response,
     make_server,
     read_body,
 )
@@ -32,7 +32,7 @@
     answer: str
 
 
-class Rating:
+class RatingService:
     """Rates answers by the quality that they carry, with some noise.
 
     Parameters
@@ -55,27 +55,29 @@
         self._noise = noise
         self._random = Random(seed)
 
-    def answer(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
+    def handle_request(
+        self, environ: Environ, start_response: StartResponse
+    ) -> list[bytes]:
         """Answer one HTTP request (a WSGI application)."""
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/v1/ratings":
                 return self._rate(environ).send(start_response)
             case _:
-                return make_error(404, "no such path").send(start_response)
+                return make_error_response(404, "no such path").send(start_response)
 
-    def _rate(self, environ: Environ) -> Answer:
+    def _rate(self, environ: Environ) -> Response:
         """Rate one answer."""
         try:
             request = json.decode(read_body(environ), type=RatingRequest)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
+            return make_error_response(400, str(error))
         wait = self._limit.take()
         if wait:
-            return make_error(429, "limit of ratings", retry_after=wait)
+            return make_error_response(429, "limit of ratings", retry_after=wait)
         sleep(self._seconds)
-        grade = read_grade(request.answer) or 0.0
-        score = grade + self._random.gauss(0.0, self._noise)
-        return make_json({"score": min(1.0, max(0.0, score))})
+        quality = read_quality(request.answer) or 0.0
+        score = quality + self._random.gauss(0.0, self._noise)
+        return make_json_response({"score": min(1.0, max(0.0, score))})
 
 
 @command()
@@ -89,8 +91,10 @@
     listen: Address, rate: float, burst: int, seconds: float, noise: float, seed: int
 ) -> None:
     """Run a rating service stand-in until SIGTERM."""
-    rating = Rating(RateLimit(rate, burst), seconds, noise, seed)
-    run_plain(make_server(listen, rating.answer), "rating", "rating")
+    rating_service = RatingService(RateLimit(rate, burst), seconds, noise, seed)
+    run_until_stopped(
+        make_server(listen, rating_service.handle_request), "rating", "rating"
+    )
 
 
 if __name__ == "__main__":
--- a/packages/fakes/src/bergamotwood_fakes/recorder.py
+++ b/packages/fakes/src/bergamotwood_fakes/recorder.py
@@ -12,7 +12,7 @@
 from bergamotwood_fakes.record import Event, Record, RecordFile, read_clock
 from bergamotwood_fakes.web import Environ, read_header
 
-MARK = compile_pattern(rb"mark-([A-Za-z0-9_.-]+)")
+MARK_PATTERN = compile_pattern(rb"mark-([A-Za-z0-9_.-]+)")
 
 
 class Identity(Struct, frozen=True):
@@ -77,5 +77,5 @@
 
 def find_mark(text: bytes) -> str:
     """Find the mark of the caller's request, empty when there is none."""
-    found = MARK.search(text)
-    return found.group(1).decode() if found else ""
+    match = MARK_PATTERN.search(text)
+    return match.group(1).decode() if match else ""
--- a/packages/fakes/src/bergamotwood_fakes/report.py
+++ b/packages/fakes/src/bergamotwood_fakes/report.py
@@ -11,8 +11,8 @@
 from bergamotwood_fakes.runner import Runner
 from bergamotwood_fakes.transcript import Outcome, Transcript
 
-MOST_TROUBLES = 6
-HEAD = (
+MAX_TROUBLES = 6
+HEADER = (
     f"{'scenario':<40}{'sent':>6}{'answ':>6}{'refus':>6}{'unkn':>6}"
     f"{'viol':>6}{'gap s':>7}{'back s':>8}"
 )
@@ -72,42 +72,45 @@
     judge_expectations : bool
         Whether expectations count; they need not hold of scenarios in pairs.
     """
-    sent = evidence.transcripts
-    faults = [one.first_fault for one in runners if one.first_fault is not None]
+    transcripts = evidence.transcripts
+    faults = [
+        runner.first_fault_at for runner in runners if runner.first_fault_at is not None
+    ]
     return Result(
         name=name,
-        sent=len(sent),
-        answered=count_outcomes(sent, Outcome.ANSWERED),
-        refused=count_outcomes(sent, Outcome.REFUSED),
-        unknown=count_outcomes(sent, Outcome.UNKNOWN),
-        longest_gap=measure_gap(sent),
-        back_to_normal=_measure_recovery(sent, min(faults)) if faults else 0.0,
+        sent=len(transcripts),
+        answered=count_outcomes(transcripts, Outcome.ANSWERED),
+        refused=count_outcomes(transcripts, Outcome.REFUSED),
+        unknown=count_outcomes(transcripts, Outcome.UNKNOWN),
+        longest_gap=measure_gap(transcripts),
+        back_to_normal=_measure_recovery(transcripts, min(faults)) if faults else 0.0,
         violations=check_promises(evidence),
-        unmet=[fault for one in runners for fault in one.unmet]
+        unmet=[fault for runner in runners for fault in runner.unmet]
         if judge_expectations
         else [],
-        troubles=_count_troubles(sent),
+        troubles=_count_troubles(transcripts),
     )
 
 
 def _count_troubles(transcripts: list[Transcript]) -> list[str]:
     """Count the failed tries by outcome, code and run."""
     kinds = Counter(
-        f"{one.outcome} {one.status} code {one.code} {one.run or ''} {one.detail[:60]}"
+        f"{attempt.outcome} {attempt.status} code {attempt.code} "
+        f"{attempt.run or ''} {attempt.detail[:60]}"
         for transcript in transcripts
-        for one in transcript.tries
-        if one.outcome is not Outcome.ANSWERED
+        for attempt in transcript.tries
+        if attempt.outcome is not Outcome.ANSWERED
     )
-    return [f"{number} x {kind}" for kind, number in kinds.most_common(MOST_TROUBLES)]
+    return [f"{number} x {kind}" for kind, number in kinds.most_common(MAX_TROUBLES)]
 
 
 def _measure_recovery(transcripts: list[Transcript], fault: float) -> float:
     """Measure the time from a fault to the last try that failed after it."""
     ends = [
-        one.ended
+        attempt.ended
         for transcript in transcripts
-        for one in transcript.tries
-        if one.outcome is not Outcome.ANSWERED and one.ended > fault
+        for attempt in transcript.tries
+        if attempt.outcome is not Outcome.ANSWERED and attempt.ended > fault
     ]
     return max(ends, default=fault) - fault
 
@@ -120,7 +123,10 @@
         f"{result.longest_gap:>7.1f}{result.back_to_normal:>8.1f}"
     )
     details = [
-        *(f"  VIOLATION {one.promise}: {one.detail}" for one in result.violations),
+        *(
+            f"  VIOLATION {violation.promise}: {violation.detail}"
+            for violation in result.violations
+        ),
         *(f"  UNMET {fault}" for fault in result.unmet),
         *(f"  {line}" for line in result.troubles),
     ]
--- a/packages/fakes/src/bergamotwood_fakes/rule.py
+++ b/packages/fakes/src/bergamotwood_fakes/rule.py
@@ -5,7 +5,7 @@
 from gevent.event import Event
 from msgspec import Struct
 
-ANYONE = "*"
+ANY_PROCESS = "*"
 
 
 class Action(StrEnum):
@@ -41,24 +41,26 @@
     """
 
     action: Action
-    sources: tuple[str, ...] = (ANYONE,)
-    targets: tuple[str, ...] = (ANYONE,)
+    sources: tuple[str, ...] = (ANY_PROCESS,)
+    targets: tuple[str, ...] = (ANY_PROCESS,)
     seconds: float = 0.0
     share: float = 1.0
     new_too: bool = False
 
-    def concerns(self, source: str, target: str) -> bool:
+    def matches(self, source: str, target: str) -> bool:
         """Whether the rule names a connection from `source` to `target`."""
-        if _is_named(source, self.sources) and _is_named(target, self.targets):
+        if _matches_name(source, self.sources) and _matches_name(target, self.targets):
             return True
         if self.action is not Action.PARTITION:
             return False
-        return _is_named(target, self.sources) and _is_named(source, self.targets)
+        return _matches_name(target, self.sources) and _matches_name(
+            source, self.targets
+        )
 
 
-def _is_named(name: str, names: tuple[str, ...]) -> bool:
+def _matches_name(name: str, names: tuple[str, ...]) -> bool:
     """Whether a name is among the names of a rule."""
-    return name in names or ANYONE in names
+    return name in names or ANY_PROCESS in names
 
 
 class RuleTable:
@@ -66,39 +68,39 @@
 
     def __init__(self) -> None:
         self._rules: dict[int, Rule] = {}
-        self._next = 1
-        self._lifted = Event()
+        self._next_number = 1
+        self._removed = Event()
 
     def add(self, rule: Rule) -> int:
         """Put a rule in force and return its number."""
-        number = self._next
-        self._next += 1
+        number = self._next_number
+        self._next_number += 1
         self._rules[number] = rule
         return number
 
     def clear(self) -> None:
         """Lift all rules."""
         self._rules.clear()
-        self._announce()
+        self._notify_removal()
 
     def remove(self, number: int) -> bool:
         """Lift one rule; False when there is none of that number."""
-        lifted = self._rules.pop(number, None) is not None
-        self._announce()
-        return lifted
+        removed = self._rules.pop(number, None) is not None
+        self._notify_removal()
+        return removed
 
-    def wait_for_lift(self) -> None:
+    def wait_for_removal(self) -> None:
         """Wait until some rule is lifted."""
-        self._lifted.wait()
+        self._removed.wait()
 
-    def _announce(self) -> None:
-        self._lifted.set()
-        self._lifted.clear()
+    def _notify_removal(self) -> None:
+        self._removed.set()
+        self._removed.clear()
 
     def find(self, action: Action, source: str, target: str) -> Rule | None:
         """Find a rule of one action that names a connection."""
         for rule in self._rules.values():
-            if rule.action is action and rule.concerns(source, target):
+            if rule.action is action and rule.matches(source, target):
                 return rule
         return None
 
@@ -107,5 +109,5 @@
         return sum(
             rule.seconds
             for rule in self._rules.values()
-            if rule.action is Action.DELAY and rule.concerns(source, target)
+            if rule.action is Action.DELAY and rule.matches(source, target)
         )
--- a/packages/fakes/src/bergamotwood_fakes/runner.py
+++ b/packages/fakes/src/bergamotwood_fakes/runner.py
@@ -8,17 +8,17 @@
 from msgspec import json
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.evidence import Departure, Evidence
+from bergamotwood_fakes.evidence import Evidence, PlannedStop
 from bergamotwood_fakes.expectation import find_unmet
 from bergamotwood_fakes.fleet import (
     ENDPOINT_KEY,
     OPERATOR_KEY,
     Fleet,
     FleetError,
-    call,
+    send_http_request,
     wait_until,
 )
-from bergamotwood_fakes.language import Scenario, name_verb
+from bergamotwood_fakes.language import Scenario, get_verb
 from bergamotwood_fakes.operator import Operator
 from bergamotwood_fakes.record import Event, read_clock
 from bergamotwood_fakes.rule import Action, Rule
@@ -36,11 +36,11 @@
 )
 from bergamotwood_fakes.transcript import Transcript
 
-START_SECONDS = 30.0
-SEND_SECONDS = 60.0
-STOP_SECONDS = 60.0
+START_TIMEOUT_SECONDS = 30.0
+SEND_TIMEOUT_SECONDS = 60.0
+STOP_TIMEOUT_SECONDS = 60.0
 LINK_VERBS = tuple(str(action) for action in Action)
-HURTING_VERBS = (
+FAULT_VERBS = (
     *LINK_VERBS,
     *("fault", "stop", "pause", "kill", "restart", "lose_disk"),
 )
@@ -70,11 +70,11 @@
         self._sampler = sampler
         self._senders: dict[str, Sender] = {}
         self._started_at = 0.0
-        self._stopping: list[gevent.Greenlet] = []
-        self.departures: list[Departure] = []
-        self.expected_ends: set[str] = set()
+        self._stop_tasks: list[gevent.Greenlet] = []
+        self.departures: list[PlannedStop] = []
+        self.expected_exits: set[str] = set()
         self.unmet: list[str] = []
-        self.first_fault: float | None = None
+        self.first_fault_at: float | None = None
 
     @property
     def transcripts(self) -> list[Transcript]:
@@ -91,19 +91,19 @@
         for number, step in enumerate(self._scenario.steps, 1):
             try:
                 self._wait_for(step)
-                self._carry_out(name_verb(step), step)
+                self._execute(get_verb(step), step)
             except FleetError as error:
                 self.unmet.append(f"step {number}: {error}")
-        self._settle()
+        self._finish()
 
-    def _settle(self) -> None:
+    def _finish(self) -> None:
         """Lift the faults of the network and wait for callers and stops."""
         if self._fleet.plan.proxy:
             self._fleet.clear_rules()
         for name, sender in self._senders.items():
-            if not sender.wait(SEND_SECONDS):
+            if not sender.wait(SEND_TIMEOUT_SECONDS):
                 self.unmet.append(f"requests of {name} have no end")
-        gevent.joinall(self._stopping, STOP_SECONDS)
+        gevent.joinall(self._stop_tasks, STOP_TIMEOUT_SECONDS)
 
     def _wait_for(self, step: Step) -> None:
         """Wait for the time and the condition of a step."""
@@ -112,35 +112,39 @@
         if step.when is not None:
             condition = step.when
             wait_until(
-                lambda: self.holds(condition), condition.within, f"when {condition}"
+                lambda: self.is_met(condition), condition.within, f"when {condition}"
             )
 
-    def holds(self, condition: Condition) -> bool:
+    def is_met(self, condition: Condition) -> bool:
         """Whether a condition holds now."""
-        return all(test(condition) for test in self._list_tests(condition))
+        return all(
+            predicate(condition) for predicate in self._list_predicates(condition)
+        )
 
-    def _list_tests(self, condition: Condition) -> list[Callable[[Condition], bool]]:
+    def _list_predicates(
+        self, condition: Condition
+    ) -> list[Callable[[Condition], bool]]:
         """List the tests that the given fields of a condition ask for."""
-        tests = []
+        predicates = []
         if condition.answered is not None:
-            tests.append(lambda c: self._count_answered(c.of) >= c.answered)
+            predicates.append(lambda c: self._count_answered(c.of) >= c.answered)
         if condition.tried is not None:
-            tests.append(lambda c: self._count_tried(c.of) >= c.tried)
+            predicates.append(lambda c: self._count_tried(c.of) >= c.tried)
         if condition.running is not None:
-            tests.append(lambda c: self._count_runs(True) >= c.running)
+            predicates.append(lambda c: self._count_runs(True) >= c.running)
         if condition.ran is not None:
-            tests.append(lambda c: self._count_runs(False) >= c.ran)
+            predicates.append(lambda c: self._count_runs(False) >= c.ran)
         if condition.finished is not None:
-            tests.append(lambda c: self._senders[c.finished].finished)
+            predicates.append(lambda c: self._senders[c.finished].finished)
         if condition.effective:
-            tests.append(lambda _: self._is_effective())
+            predicates.append(lambda _: self._is_effective())
         if condition.repaired:
-            tests.append(lambda _: self._is_repaired())
+            predicates.append(lambda _: self._is_repaired())
         if condition.endpoints is not None:
-            tests.append(lambda c: self._knows_endpoints(c.endpoints))
+            predicates.append(lambda c: self._knows_endpoints(c.endpoints))
         if condition.ended is not None:
-            tests.append(lambda c: not self._fleet.members[c.ended].running)
-        return tests
+            predicates.append(lambda c: not self._fleet.members[c.ended].running)
+        return predicates
 
     def _find_transcripts(self, name: str) -> list[Transcript]:
         """Find the transcripts of a stream, or of all."""
@@ -148,7 +152,9 @@
 
     def _count_answered(self, name: str) -> int:
         """Count answered requests."""
-        return sum(one.answer is not None for one in self._find_transcripts(name))
+        return sum(
+            transcript.answer is not None for transcript in self._find_transcripts(name)
+        )
 
     def _count_tried(self, name: str) -> int:
         """Count requests that were begun."""
@@ -167,26 +173,30 @@
             if not entry.running:
                 continue
             status = self._fleet.read_status(entry)
-            if status is None or status["ticket"] < self._operator.newest:
+            if status is None or status["ticket"] < self._operator.newest_accepted:
                 return False
         return True
 
     def _is_repaired(self) -> bool:
         """Whether all running control replicas count for majorities."""
         running = [entry for entry in self._fleet.entries if entry.running]
-        found = [self._fleet.read_status(entry) for entry in running]
-        return all(one is not None and one["voting"] is not False for one in found)
+        statuses = [self._fleet.read_status(entry) for entry in running]
+        return all(
+            status is not None and status["voting"] is not False for status in statuses
+        )
 
     def _knows_endpoints(self, number: int) -> bool:
         """Whether all running entries know as many endpoints."""
         running = [entry for entry in self._fleet.entries if entry.running]
-        found = [self._fleet.read_status(entry) for entry in running]
-        return all(one is not None and one["endpoints"] >= number for one in found)
+        statuses = [self._fleet.read_status(entry) for entry in running]
+        return all(
+            status is not None and status["endpoints"] >= number for status in statuses
+        )
 
-    def _carry_out(self, verb: str, step: Step) -> None:
+    def _execute(self, verb: str, step: Step) -> None:
         """Carry out the verb of a step."""
-        if verb in HURTING_VERBS and self.first_fault is None:
-            self.first_fault = read_clock()
+        if verb in FAULT_VERBS and self.first_fault_at is None:
+            self.first_fault_at = read_clock()
         match verb, getattr(step, verb, None):
             case _, TicketStep() as ticket:
                 self._submit(ticket)
@@ -208,29 +218,29 @@
 
     def _act_on_process(self, verb: str, name: str) -> None:
         """Carry out a verb that concerns one process."""
-        member = self._fleet.members[self._resolve(name)]
+        member = self._fleet.members[self._resolve_process_name(name)]
         match verb:
             case "start":
                 self._fleet.launch(member.name)
             case "stop":
-                self._stopping.append(gevent.spawn(self._stop, member.name))
+                self._stop_tasks.append(gevent.spawn(self._stop, member.name))
                 gevent.sleep(0)
             case "pause":
                 member.pause()
             case "wake":
-                member.wake()
+                member.resume()
             case "kill":
-                self.expected_ends.add(member.name)
+                self.expected_exits.add(member.name)
                 member.kill()
             case "restart":
-                self.expected_ends.add(member.name)
+                self.expected_exits.add(member.name)
                 member.kill()
                 self._fleet.launch(member.name)
             case "lose_disk":
-                self.expected_ends.add(member.name)
+                self.expected_exits.add(member.name)
                 self._fleet.lose_disk(member.name)
 
-    def _resolve(self, name: str) -> str:
+    def _resolve_process_name(self, name: str) -> str:
         """Resolve `leader` and `follower` to the names of entries."""
         if name not in ("leader", "follower"):
             return name
@@ -242,29 +252,35 @@
             if name == "leader":
                 return leader
             controls = self._fleet.entries[: self._fleet.plan.controls]
-            return next(one.name for one in controls if one.name != leader)
+            return next(
+                entry_process.name
+                for entry_process in controls
+                if entry_process.name != leader
+            )
         raise FleetError("no entry knows the leader")
 
     def _stop(self, name: str) -> None:
         """Stop a process as planned and note how it went."""
         member = self._fleet.members[name]
-        self.expected_ends.add(name)
-        member.ask_to_stop()
-        departure = Departure(name, member.left_at[-1], None, None)
-        self.departures.append(departure)
-        departure.exit_code = member.wait(STOP_SECONDS)
-        departure.ended = read_clock()
-        if departure.exit_code is None:
-            self.unmet.append(f"{name} did not stop in {STOP_SECONDS} s")
+        self.expected_exits.add(name)
+        member.terminate()
+        planned_stop = PlannedStop(name, member.left_at[-1], None, None)
+        self.departures.append(planned_stop)
+        planned_stop.exit_code = member.wait(STOP_TIMEOUT_SECONDS)
+        planned_stop.ended = read_clock()
+        if planned_stop.exit_code is None:
+            self.unmet.append(f"{name} did not stop in {STOP_TIMEOUT_SECONDS} s")
 
     def _submit(self, step: TicketStep) -> None:
         """Submit a ticket as its step says."""
         content = self._scenario.tickets[step.name]
         if step.rival:
-            self._operator.race(content, self._scenario.tickets[step.rival])
+            self._operator.submit_concurrently(
+                content, self._scenario.tickets[step.rival]
+            )
             return
         for _ in range(step.copies):
-            number = self._operator.take_number()
+            number = self._operator.allocate_number()
             for _ in range(1 + step.resends):
                 self._operator.submit(number, content, step.entry)
 
@@ -273,24 +289,28 @@
         sender = Sender(self._fleet, step, self._scenario.seed)
         self._senders[step.id] = sender
         sender.start()
-        if step.wait and not sender.wait(SEND_SECONDS):
+        if step.wait and not sender.wait(SEND_TIMEOUT_SECONDS):
             raise FleetError(f"requests of {step.id} have no end")
 
     def _announce(self, step: AnnounceStep) -> None:
         """Announce an endpoint through an entry with some fields changed."""
         entry = self._fleet.members[step.entry]
-        _, body = call(entry.address, "GET", "/v1/endpoints", key=OPERATOR_KEY)
+        _, body = send_http_request(
+            entry.address, "GET", "/v1/endpoints", key=OPERATOR_KEY
+        )
         views = {view["announcement"]["id"]: view for view in json.decode(body)}
         if step.of not in views:
             raise FleetError(f"{step.entry} does not know {step.of}")
-        word = {**views[step.of]["announcement"], **step.changes}
-        word["sequence"] += step.changes.get("sequence", 1_000_000)
-        self._post_announcement(entry.address, word)
+        announcement = {**views[step.of]["announcement"], **step.changes}
+        announcement["sequence"] += step.changes.get("sequence", 1_000_000)
+        self._post_announcement(entry.address, announcement)
 
-    def _post_announcement(self, address: Address, word: dict) -> None:
+    def _post_announcement(self, address: Address, announcement: dict) -> None:
         """Post an announcement once."""
-        body = json.encode(word)
-        status, _ = call(address, "POST", "/v1/endpoints", body, ENDPOINT_KEY)
+        body = json.encode(announcement)
+        status, _ = send_http_request(
+            address, "POST", "/v1/endpoints", body, ENDPOINT_KEY
+        )
         if status != 200:
             raise FleetError(f"announcement: status {status}")
 
@@ -314,7 +334,7 @@
     )
 
 
-def gather_evidence(
+def collect_evidence(
     fleet: Fleet,
     operator: Operator,
     sampler: Sampler,
@@ -322,10 +342,12 @@
     lag: float,
 ) -> Evidence:
     """Gather what the checks need, then stop the fleet."""
-    accepted = {one.number for one in operator.tickets if one.accepted}
-    kept = {number: operator.is_kept(number) for number in sorted(accepted)[-20:]}
+    accepted = {ticket.number for ticket in operator.tickets if ticket.accepted}
+    kept_tickets = {
+        number: operator.is_kept(number) for number in sorted(accepted)[-20:]
+    }
     bills = operator.read_bills()
-    expected = {name for runner in runners for name in runner.expected_ends}
+    expected = {name for runner in runners for name in runner.expected_exits}
     expected |= {engine.name for engine in fleet.plan.engines if engine.poison}
     surprises = [
         f"{member.name} ended with {member.process.poll()}"
@@ -337,14 +359,18 @@
         if code != 0:
             surprises.append(f"{name} ended with {code} at the planned stop of all")
     return Evidence(
-        transcripts=[one for runner in runners for one in runner.transcripts],
+        transcripts=[
+            transcript for runner in runners for transcript in runner.transcripts
+        ],
         records=records,
         tickets=operator.tickets,
         bills=bills,
         samples=list(sampler.samples),
-        departures=[one for runner in runners for one in runner.departures],
+        departures=[
+            planned_stop for runner in runners for planned_stop in runner.departures
+        ],
         surprises=surprises,
-        kept_tickets=kept,
+        kept_tickets=kept_tickets,
         lag=lag,
     )
 
@@ -366,20 +392,20 @@
         fleet.start()
         operator = Operator(fleet, Random(first.seed))
         sampler = Sampler(fleet)
-        runners = [Runner(one, fleet, operator, sampler) for one in scenarios]
-        _prepare(fleet, operator, first, runners[0])
+        runners = [Runner(scenario, fleet, operator, sampler) for scenario in scenarios]
+        _prepare_fleet(fleet, operator, first, runners[0])
         sampler.start()
         running = [gevent.spawn(runner.run) for runner in runners]
         gevent.joinall(running, raise_error=True)
-        evidence = gather_evidence(fleet, operator, sampler, runners, first.lag)
+        evidence = collect_evidence(fleet, operator, sampler, runners, first.lag)
         return evidence, runners
 
 
-def _prepare(
+def _prepare_fleet(
     fleet: Fleet, operator: Operator, scenario: Scenario, runner: Runner
 ) -> None:
     """Apply the base ticket and wait until all know all endpoints."""
-    operator.submit(operator.take_number(), scenario.tickets["base"])
+    operator.submit(operator.allocate_number(), scenario.tickets["base"])
     plan = fleet.plan
     ready = Condition(effective=True, endpoints=len(plan.engines) + len(plan.services))
-    wait_until(lambda: runner.holds(ready), START_SECONDS, "fleet is ready")
+    wait_until(lambda: runner.is_met(ready), START_TIMEOUT_SECONDS, "fleet is ready")
--- a/packages/fakes/src/bergamotwood_fakes/sampler.py
+++ b/packages/fakes/src/bergamotwood_fakes/sampler.py
@@ -4,7 +4,7 @@
 
 from bergamotwood_fakes.evidence import Sample
 from bergamotwood_fakes.fleet import Fleet
-from bergamotwood_fakes.member import Member
+from bergamotwood_fakes.managed_process import ManagedProcess
 from bergamotwood_fakes.record import read_clock
 
 INTERVAL_SECONDS = 0.4
@@ -29,17 +29,17 @@
         for entry in self._fleet.entries:
             gevent.spawn(self._run, entry)
 
-    def _run(self, entry: Member) -> None:
+    def _run(self, entry: ManagedProcess) -> None:
         """Sample one entry for ever."""
         while True:
             if entry.running:
                 self._sample(entry)
             gevent.sleep(INTERVAL_SECONDS)
 
-    def _sample(self, entry: Member) -> None:
+    def _sample(self, entry: ManagedProcess) -> None:
         """Take one sample; its time is when the question was sent."""
-        asked = read_clock()
-        process = entry.process.pid
+        requested_at = read_clock()
+        pid = entry.process.pid
         status = self._fleet.read_status(entry)
         if status is None:
             self.latest.pop(entry.name, None)
@@ -47,9 +47,9 @@
         self.latest[entry.name] = status
         self.samples.append(
             Sample(
-                asked,
+                requested_at,
                 entry.name,
-                process,
+                pid,
                 status["ticket"],
                 status["config_age_seconds"],
                 status["draining"],
--- a/packages/fakes/src/bergamotwood_fakes/scenario.py
+++ b/packages/fakes/src/bergamotwood_fakes/scenario.py
@@ -3,7 +3,7 @@
 from itertools import combinations
 from pathlib import Path
 from signal import SIGTERM
-from sys import exit as leave
+from sys import exit as exit_process
 from tempfile import mkdtemp
 
 from click import Path as PathType
@@ -13,7 +13,7 @@
 
 from bergamotwood_fakes.language import Scenario, load_scenario
 from bergamotwood_fakes.report import (
-    HEAD,
+    HEADER,
     Result,
     format_result,
     make_result,
@@ -57,18 +57,18 @@
         if pairs
         else [[scenario] for scenario in scenarios]
     )
-    place = folder or Path(mkdtemp(prefix="bergamotwood-"))
-    echo(f"files in {place}")
-    echo(HEAD)
+    base_folder = folder or Path(mkdtemp(prefix="bergamotwood-"))
+    echo(f"files in {base_folder}")
+    echo(HEADER)
     results = []
     for number, group in enumerate(groups, 1):
-        kept = place / f"{number:03}"
-        kept.mkdir(parents=True)
-        results.append(judge_scenarios(group, kept))
+        group_folder = base_folder / f"{number:03}"
+        group_folder.mkdir(parents=True)
+        results.append(judge_scenarios(group, group_folder))
         echo(format_result(results[-1]))
     if report is not None:
         write_results(results, report)
-    leave(0 if all(result.passed for result in results) else 1)
+    exit_process(0 if all(result.passed for result in results) else 1)
 
 
 if __name__ == "__main__":
--- a/packages/fakes/src/bergamotwood_fakes/sender.py
+++ b/packages/fakes/src/bergamotwood_fakes/sender.py
@@ -7,7 +7,7 @@
 from gevent import Greenlet
 
 from bergamotwood_fakes.answer import WORDS
-from bergamotwood_fakes.caller import Caller, Patience
+from bergamotwood_fakes.caller import Caller, RetryPolicy
 from bergamotwood_fakes.fleet import Fleet
 from bergamotwood_fakes.language import ScenarioError
 from bergamotwood_fakes.request import make_chat, make_lookup, make_payment
@@ -31,8 +31,8 @@
     def __init__(self, fleet: Fleet, step: SendStep, seed: int) -> None:
         self._step = step
         self._random = Random(f"{seed}-{step.id}")
-        patience = Patience(step.silence, step.tries)
-        self._caller = Caller(fleet, self._random, patience)
+        retry_policy = RetryPolicy(step.silence, step.tries)
+        self._caller = Caller(fleet, self._random, retry_policy)
         self._greenlet: Greenlet | None = None
 
     @property
@@ -83,7 +83,7 @@
         """Send one request as the step says."""
         step = self._step
         if step.race:
-            return self._caller.race(request, step.entries)
+            return self._caller.send_concurrently(request, step.entries)
         transcript = self._caller.send(request, step.entries)
         if step.resend:
             self._caller.send(request, step.entries)
--- a/packages/fakes/src/bergamotwood_fakes/service.py
+++ b/packages/fakes/src/bergamotwood_fakes/service.py
@@ -17,12 +17,12 @@
 from bergamotwood_fakes.record import Record
 from bergamotwood_fakes.recorder import Identity, Recorder
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
-    cut_connection,
-    make_error,
-    make_json,
+    close_connection,
+    make_error_response,
+    make_json_response,
     make_server,
     read_body,
 )
@@ -52,32 +52,34 @@
         self._faults = Faults()
         self._random = Random(0)
 
-    def answer(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
+    def handle_request(
+        self, environ: Environ, start_response: StartResponse
+    ) -> list[bytes]:
         """Answer one HTTP request (a WSGI application)."""
         if environ["PATH_INFO"] == "/fault":
             return self._set_faults(environ).send(start_response)
         body = read_body(environ)
         if self._random.random() < self._faults.error_rate:
-            return make_error(500, "service error").send(start_response)
+            return make_error_response(500, "service error").send(start_response)
         run = self._recorder.start(environ, body, self._name)
         try:
             answer = self._run(run)
         except BrokenAnswerError:
             self._recorder.end(run, 0, False)
-            cut_connection(environ)
+            close_connection(environ)
             return []
         self._recorder.end(run, 1, True)
         return answer.send(start_response)
 
-    def _set_faults(self, environ: Environ) -> Answer:
+    def _set_faults(self, environ: Environ) -> Response:
         """Replace the faults in force."""
         try:
             self._faults = json.decode(read_body(environ), type=Faults)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
-        return make_json(self._faults)
+            return make_error_response(400, str(error))
+        return make_json_response(self._faults)
 
-    def _run(self, run: Record) -> Answer:
+    def _run(self, run: Record) -> Response:
         """Run a request, with the faults in force."""
         sleep(self._seconds + self._faults.extra_latency)
         if self._faults.break_after is not None:
@@ -86,11 +88,11 @@
         match run.method, run.path.strip("/").split("/")[0]:
             case "POST", "payments" | "licences":
                 receipt = f"{run.endpoint}-{run.incarnation}-{run.run}"
-                return make_json({"receipt": receipt, "body": run.fingerprint})
+                return make_json_response({"receipt": receipt, "body": run.fingerprint})
             case "GET", "availability":
-                return make_json({"available": True, "path": run.path})
+                return make_json_response({"available": True, "path": run.path})
             case _:
-                return make_json({"path": run.path, "body": run.fingerprint})
+                return make_json_response({"path": run.path, "body": run.fingerprint})
 
 
 @command()
@@ -111,16 +113,16 @@
     seconds: float,
 ) -> None:
     """Run a plain service stand-in until SIGTERM."""
-    who = Identity(EndpointId(identity), make_incarnation())
-    recorder = Recorder(who, records)
-    plain = Service(service, seconds, recorder)
-    server = make_server(listen, plain.answer)
+    endpoint_identity = Identity(EndpointId(identity), make_incarnation())
+    recorder = Recorder(endpoint_identity, records)
+    service_app = Service(service, seconds, recorder)
+    server = make_server(listen, service_app.handle_request)
     address = public or Address(listen.host, server.server_port)
 
     def describe() -> Announcement:
         return Announcement(
-            id=who.id,
-            incarnation=who.incarnation,
+            id=endpoint_identity.id,
+            incarnation=endpoint_identity.incarnation,
             sequence=0,
             address=address,
             data_centre=data_centre,
--- a/packages/fakes/src/bergamotwood_fakes/peername.py
+++ b/packages/fakes/src/bergamotwood_fakes/socket_owner.py
@@ -15,47 +15,52 @@
 NETLINK_SOCK_DIAG = 4
 SOCK_DIAG_BY_FAMILY = 20
 NLM_F_REQUEST = 1
-ALL_STATES = 0xFFFFFFFF
+ALL_TCP_STATES = 0xFFFFFFFF
 NO_COOKIE = 0xFFFFFFFF
-HEADER = "=IHHII"
-QUESTION = "=BBBBI"
+HEADER_FORMAT = "=IHHII"
+REQUEST_FORMAT = "=BBBBI"
 INODE_OFFSET = 84
-ANSWER_BYTES = 4_096
+MAX_RESPONSE_BYTES = 4_096
 LOOPBACK = inet_aton("127.0.0.1") + bytes(12)
 
 
 def find_socket(local_port: int, remote_port: int) -> int | None:
     """Find the inode of the socket that connects two ports of loopback."""
-    connection = (
+    socket_id = (
         pack("!HH", local_port, remote_port)
         + LOOPBACK
         + LOOPBACK
         + pack("=III", 0, NO_COOKIE, NO_COOKIE)
     )
-    question = pack(QUESTION, AF_INET, IPPROTO_TCP, 0, 0, ALL_STATES) + connection
-    length = calcsize(HEADER) + len(question)
-    header = pack(HEADER, length, SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST, 0, 0)
-    with socket(AF_NETLINK, SOCK_RAW, NETLINK_SOCK_DIAG) as kernel:
-        kernel.send(header + question)
-        answer = kernel.recv(ANSWER_BYTES)
-    _, kind = unpack_from("=IH", answer)
-    if kind != SOCK_DIAG_BY_FAMILY:
+    request = (
+        pack(REQUEST_FORMAT, AF_INET, IPPROTO_TCP, 0, 0, ALL_TCP_STATES) + socket_id
+    )
+    length = calcsize(HEADER_FORMAT) + len(request)
+    header = pack(HEADER_FORMAT, length, SOCK_DIAG_BY_FAMILY, NLM_F_REQUEST, 0, 0)
+    with socket(AF_NETLINK, SOCK_RAW, NETLINK_SOCK_DIAG) as netlink:
+        netlink.send(header + request)
+        response = netlink.recv(MAX_RESPONSE_BYTES)
+    _, message_type = unpack_from("=IH", response)
+    if message_type != SOCK_DIAG_BY_FAMILY:
         return None
-    return unpack_from("=I", answer, INODE_OFFSET)[0]
+    return unpack_from("=I", response, INODE_OFFSET)[0]
 
 
-def owns_socket(process: int, inode: int) -> bool:
+def owns_socket(pid: int, inode: int) -> bool:
     """Whether a process has a socket open."""
-    folder = f"/proc/{process}/fd"
-    wanted = f"socket:[{inode}]"
+    descriptor_folder = f"/proc/{pid}/fd"
+    expected_link = f"socket:[{inode}]"
     try:
-        numbers = listdir(folder)
+        descriptors = listdir(descriptor_folder)
     except OSError:
         return False
-    return any(_read_link(f"{folder}/{number}") == wanted for number in numbers)
+    return any(
+        _read_link(f"{descriptor_folder}/{descriptor}") == expected_link
+        for descriptor in descriptors
+    )
 
 
-def find_owner(
+def find_connection_owner(
     processes: dict[str, int], local_port: int, remote_port: int
 ) -> str | None:
     """Find the name of the process that opened a connection.
@@ -70,8 +75,8 @@
     inode = find_socket(local_port, remote_port)
     if inode is None:
         return None
-    for name, process in processes.items():
-        if owns_socket(process, inode):
+    for name, pid in processes.items():
+        if owns_socket(pid, inode):
             return name
     return None
 
--- a/packages/fakes/src/bergamotwood_fakes/step.py
+++ b/packages/fakes/src/bergamotwood_fakes/step.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-from bergamotwood_fakes.rule import ANYONE
+from bergamotwood_fakes.rule import ANY_PROCESS
 
 
 class Condition(Struct, forbid_unknown_fields=True):
@@ -136,8 +136,8 @@
 class LinkStep(Struct, forbid_unknown_fields=True):
     """Hurt connections at the proxy; see `bergamotwood_fakes.rule`."""
 
-    sources: tuple[str, ...] = (ANYONE,)
-    targets: tuple[str, ...] = (ANYONE,)
+    sources: tuple[str, ...] = (ANY_PROCESS,)
+    targets: tuple[str, ...] = (ANY_PROCESS,)
     seconds: float = 0.0
     share: float = 1.0
     new_too: bool = False
--- a/packages/fakes/src/bergamotwood_fakes/timeline.py
+++ b/packages/fakes/src/bergamotwood_fakes/timeline.py
@@ -2,10 +2,10 @@
 
 from msgspec import Struct, field
 
-from bergamotwood_fakes.evidence import TicketTry
+from bergamotwood_fakes.evidence import TicketSubmission
 
 
-class State(Struct):
+class Configuration(Struct):
     """Configuration after a ticket, as far as the checks need it.
 
     Parameters
@@ -32,31 +32,35 @@
 
     Parameters
     ----------
-    tickets : list of TicketTry
+    tickets : list of TicketSubmission
         All that were submitted.
     lag : float
         Seconds after which an accepted ticket is in force everywhere.
     """
 
-    def __init__(self, tickets: list[TicketTry], lag: float) -> None:
+    def __init__(self, tickets: list[TicketSubmission], lag: float) -> None:
         self._lag = lag
-        self.states = [State()]
-        accepted = [one for one in tickets if one.accepted]
-        for number in sorted({one.number for one in accepted}):
-            same = [one for one in accepted if one.number == number]
-            self.states.append(_apply(self.states[-1], same))
+        self.configurations = [Configuration()]
+        accepted = [ticket for ticket in tickets if ticket.accepted]
+        for number in sorted({ticket.number for ticket in accepted}):
+            same = [ticket for ticket in accepted if ticket.number == number]
+            self.configurations.append(_apply_ticket(self.configurations[-1], same))
 
-    def find_possible(self, time: float) -> list[State]:
+    def find_possible(self, time: float) -> list[Configuration]:
         """Find the states that an entry may have had in force at a time."""
         newest_settled = 0
-        for place, state in enumerate(self.states):
-            if state.answered + self._lag < time:
-                newest_settled = place
-        possible = self.states[newest_settled:]
-        return [state for state in possible if state.sent <= time]
+        for position, configuration in enumerate(self.configurations):
+            if configuration.answered + self._lag < time:
+                newest_settled = position
+        possible = self.configurations[newest_settled:]
+        return [
+            configuration for configuration in possible if configuration.sent <= time
+        ]
 
 
-def _apply(before: State, tickets: list[TicketTry]) -> State:
+def _apply_ticket(
+    before: Configuration, tickets: list[TicketSubmission]
+) -> Configuration:
     """Make the state after an accepted ticket."""
     content = tickets[0].content
     allowed = dict(before.allowed)
@@ -65,10 +69,10 @@
         allowed[workspace["name"]] = frozenset(usable)
     for name in content.get("remove", {}).get("workspaces", ()):
         allowed.pop(name, None)
-    return State(
+    return Configuration(
         number=tickets[0].number,
-        sent=min(one.sent for one in tickets),
-        answered=min(one.answered for one in tickets),
+        sent=min(ticket.sent for ticket in tickets),
+        answered=min(ticket.answered for ticket in tickets),
         allowed=allowed,
         withdrawn=_find_withdrawn(before.withdrawn, content),
     )
--- a/packages/fakes/src/bergamotwood_fakes/transcript.py
+++ b/packages/fakes/src/bergamotwood_fakes/transcript.py
@@ -59,7 +59,7 @@
         return bool(self.messages)
 
 
-class Try(Struct):
+class Attempt(Struct):
     """One sending of a request.
 
     Parameters
@@ -109,15 +109,15 @@
     """A request with all its tries, in the order in which they began."""
 
     request: Request
-    tries: list[Try] = field(default_factory=list)
+    tries: list[Attempt] = field(default_factory=list)
     done: bool = False
 
     @property
-    def answer(self) -> Try | None:
+    def answer(self) -> Attempt | None:
         """The first try that was answered."""
-        for one in self.tries:
-            if one.outcome is Outcome.ANSWERED:
-                return one
+        for attempt in self.tries:
+            if attempt.outcome is Outcome.ANSWERED:
+                return attempt
         return None
 
     @property
@@ -125,7 +125,7 @@
         """What the caller knows in the end."""
         if self.answer is not None:
             return Outcome.ANSWERED
-        harmless = (Outcome.REFUSED, Outcome.UNREACHABLE)
-        if all(one.outcome in harmless for one in self.tries):
+        not_run_outcomes = (Outcome.REFUSED, Outcome.UNREACHABLE)
+        if all(attempt.outcome in not_run_outcomes for attempt in self.tries):
             return Outcome.REFUSED
         return Outcome.UNKNOWN
--- a/packages/fakes/src/bergamotwood_fakes/web.py
+++ b/packages/fakes/src/bergamotwood_fakes/web.py
@@ -34,7 +34,7 @@
 Application = Callable[[Environ, StartResponse], Iterable[bytes]]
 
 
-class Answer(Struct):
+class Response(Struct):
     """An answer that is sent whole."""
 
     status: int
@@ -54,15 +54,17 @@
         return [self.body]
 
 
-def make_json(value: object, status: int = 200) -> Answer:
+def make_json_response(value: object, status: int = 200) -> Response:
     """Make an answer of a JSON value."""
-    return Answer(status, json.encode(value))
+    return Response(status, json.encode(value))
 
 
-def make_error(status: int, message: str, retry_after: float | None = None) -> Answer:
+def make_error_response(
+    status: int, message: str, retry_after: float | None = None
+) -> Response:
     """Make an error in the OpenAI form."""
     body = json.encode({"error": {"message": message}})
-    return Answer(status, body, retry_after=retry_after)
+    return Response(status, body, retry_after=retry_after)
 
 
 def read_body(environ: Environ) -> bytes:
@@ -85,7 +87,7 @@
         return environ
 
 
-def cut_connection(environ: Environ) -> None:
+def close_connection(environ: Environ) -> None:
     """Close the connection of a request in both directions."""
     try:
         environ[SOCKET_KEY].shutdown(SHUT_RDWR)
@@ -95,9 +97,9 @@
 
 def check_bearer(environ: Environ, key: str) -> bool:
     """Whether a request carries the bearer key; an empty key lets all pass."""
-    wanted = f"Bearer {key}".encode()
-    given = read_header(environ, "Authorization").encode()
-    return not key or compare_digest(given, wanted)
+    expected = f"Bearer {key}".encode()
+    received = read_header(environ, "Authorization").encode()
+    return not key or compare_digest(received, expected)
 
 
 def open_listener(address: Address) -> socket:
--- a/packages/fakes/src/bergamotwood_fakes/weights.py
+++ b/packages/fakes/src/bergamotwood_fakes/weights.py
@@ -6,13 +6,13 @@
 from bergamotwood_core.messages import Address
 from bergamotwood_fakes.limit import RateLimit
 from bergamotwood_fakes.option import LISTEN
-from bergamotwood_fakes.process import run_plain
+from bergamotwood_fakes.process import run_until_stopped
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
-    make_error,
-    make_json,
+    make_error_response,
+    make_json_response,
     make_server,
 )
 
@@ -34,20 +34,22 @@
         self._limit = limit
         self._seconds = seconds
 
-    def answer(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
+    def handle_request(
+        self, environ: Environ, start_response: StartResponse
+    ) -> list[bytes]:
         """Answer one HTTP request (a WSGI application)."""
         path = environ["PATH_INFO"]
         if environ["REQUEST_METHOD"] != "GET" or not path.startswith(PATH):
-            return make_error(404, "no such path").send(start_response)
+            return make_error_response(404, "no such path").send(start_response)
         return self._download(path.removeprefix(PATH)).send(start_response)
 
-    def _download(self, version: str) -> Answer:
+    def _download(self, version: str) -> Response:
         """Give one version's weights."""
         wait = self._limit.take()
         if wait:
-            return make_error(429, "limit of downloads", retry_after=wait)
+            return make_error_response(429, "limit of downloads", retry_after=wait)
         sleep(self._seconds)
-        return make_json({"version": version})
+        return make_json_response({"version": version})
 
 
 @command()
@@ -58,7 +60,7 @@
 def main(listen: Address, rate: float, burst: int, seconds: float) -> None:
     """Run a weight store stand-in until SIGTERM."""
     store = WeightStore(RateLimit(rate, burst), seconds)
-    run_plain(make_server(listen, store.answer), "weights", "weights")
+    run_until_stopped(make_server(listen, store.handle_request), "weights", "weights")
 
 
 if __name__ == "__main__":
--- a/tests/fakes/conftest.py
+++ b/tests/fakes/conftest.py
@@ -4,16 +4,16 @@
 from geventhttpclient import HTTPClient
 from pytest import fixture
 
-from bergamotwood_fakes.launch import launch_module, read_started
+from bergamotwood_fakes.launch import launch_module, read_start_message
 
 HOST = "127.0.0.1"
 STOP_SECONDS = 10
 
 
-class StandIn:
+class FakeProcess:
     def __init__(self, module, *options):
         self.process = launch_module(f"bergamotwood_fakes.{module}", list(options))
-        self.port = read_started(self.process).port
+        self.port = read_start_message(self.process).port
 
     def call(self, method, path, body=b"", **headers):
         client = HTTPClient(HOST, self.port)
@@ -36,6 +36,6 @@
 
 
 @fixture
-def start():
+def start_fake():
     with ExitStack() as stack:
-        yield lambda *options: stack.enter_context(StandIn(*options))
+        yield lambda *options: stack.enter_context(FakeProcess(*options))
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -18,12 +18,12 @@
     return [json.decode(line.removeprefix(b"data: ")) for line in lines]
 
 
-def start_engine(start, *options):
-    return start("engine", "--id", "e1", "--version", "small:1", *options)
+def start_engine(start_fake, *options):
+    return start_fake("engine", "--id", "e1", "--version", "small:1", *options)
 
 
-def test_stream_has_ids_indices_and_usage(start):
-    engine = start_engine(start)
+def test_stream_has_ids_indices_and_usage(start_fake):
+    engine = start_engine(start_fake)
     status, body = engine.call("POST", PATH, json.encode(CHAT), X_Request_Id="r1")
     events = read_events(body)
     assert status == 200
@@ -33,22 +33,22 @@
     assert events[-1]["usage"]["completion_tokens"] == 6
 
 
-def test_resumed_stream_goes_on_exactly(start):
-    engine = start_engine(start)
+def test_resumed_stream_equals_the_rest_of_the_original(start_fake):
+    engine = start_engine(start_fake)
     _, whole = engine.call("POST", PATH, json.encode(CHAT))
     resume = {"Bergamotwood_Resume_From": "3"}
     _, rest = engine.call("POST", PATH, json.encode(CHAT), **resume)
     assert read_events(rest) == read_events(whole)[3:]
 
 
-def test_version_that_is_not_loaded_is_404(start):
-    engine = start_engine(start)
+def test_request_for_an_unloaded_version_returns_404(start_fake):
+    engine = start_engine(start_fake)
     other = {"Bergamotwood_Version": "small:2"}
     assert engine.call("POST", PATH, json.encode(CHAT), **other)[0] == 404
 
 
-def test_break_and_reorder_faults_show(start):
-    engine = start_engine(start)
+def test_reorder_fault_swaps_chunks_and_break_fault_cuts_the_stream(start_fake):
+    engine = start_engine(start_fake)
     engine.call("POST", "/fault", b'{"reorder": true}')
     _, body = engine.call("POST", PATH, json.encode(CHAT))
     assert [event["index"] for event in read_events(body)] == [1, 0, 3, 2, 5, 4, 6]
@@ -57,20 +57,22 @@
         engine.call("POST", PATH, json.encode(CHAT))
 
 
-def test_old_fencing_token_is_refused_when_checked(start):
-    engine = start_engine(start)
-    careless = start_engine(start, "--no-checks-fencing")
-    new = b'{"order": "load", "version": "small:2", "term": 3, "index": 9}'
-    old = b'{"order": "load", "version": "small:3", "term": 2, "index": 20}'
-    assert engine.call("POST", "/v1/orders", new)[0] == 200
-    assert engine.call("POST", "/v1/orders", old)[0] == 409
-    assert careless.call("POST", "/v1/orders", new)[0] == 200
-    assert careless.call("POST", "/v1/orders", old)[0] == 200
+def test_order_with_an_old_fencing_token_is_refused_if_checked(start_fake):
+    engine = start_engine(start_fake)
+    unchecked_engine = start_engine(start_fake, "--no-checks-fencing")
+    new_order = b'{"order": "load", "version": "small:2", "term": 3, "index": 9}'
+    old_order = b'{"order": "load", "version": "small:3", "term": 2, "index": 20}'
+    assert engine.call("POST", "/v1/orders", new_order)[0] == 200
+    assert engine.call("POST", "/v1/orders", old_order)[0] == 409
+    assert unchecked_engine.call("POST", "/v1/orders", new_order)[0] == 200
+    assert unchecked_engine.call("POST", "/v1/orders", old_order)[0] == 200
 
 
-def test_poison_crashes_and_leaves_an_unfinished_run(start, tmp_path):
+def test_poison_prompt_crashes_the_engine_and_leaves_an_unfinished_run(
+    start_fake, tmp_path
+):
     records = tmp_path / "e1.jsonl"
-    engine = start_engine(start, "--poison", "hemlock", "--records", str(records))
+    engine = start_engine(start_fake, "--poison", "hemlock", "--records", str(records))
     poison = {**CHAT, "messages": [{"role": "user", "content": "hemlock tea"}]}
     engine.call("POST", PATH, json.encode(CHAT))
     with raises((HTTPParseError, OSError)):
@@ -81,10 +83,10 @@
     assert len(find_unfinished(read_records(records))) == 1
 
 
-def test_weights_are_fetched_within_the_limit(start):
-    store = start("weights", "--rate", "50", "--burst", "1", "--seconds", "0")
+def test_engine_retries_weight_downloads_over_the_rate_limit(start_fake):
+    store = start_fake("weights", "--rate", "50", "--burst", "1", "--seconds", "0")
     weights = f"127.0.0.1:{store.port}"
-    engine = start_engine(start, "--weights", weights)
+    engine = start_engine(start_fake, "--weights", weights)
     for index, version in enumerate(("small:2", "small:3")):
         order = {"order": "load", "version": version, "term": 1, "index": index}
         assert engine.call("POST", "/v1/orders", json.encode(order))[0] == 200
@@ -93,8 +95,8 @@
     assert engine.call("POST", PATH, json.encode(chat))[0] == 200
 
 
-def test_rating_reads_the_quality_of_the_answer(start):
-    rating = start("rating", "--noise", "0", "--burst", "1", "--rate", "0.001")
+def test_rating_returns_the_quality_in_the_answer_within_its_rate_limit(start_fake):
+    rating = start_fake("rating", "--noise", "0", "--burst", "1", "--rate", "0.001")
     request = {
         "request": "r1",
         "workspace": "w",
--- a/tests/fakes/test_proxy.py
+++ b/tests/fakes/test_proxy.py
@@ -6,10 +6,10 @@
 from msgspec import json
 from pytest import fixture, raises
 
-from bergamotwood_fakes.proxy import DIAL_SECONDS
+from bergamotwood_fakes.proxy import CONNECT_TIMEOUT_SECONDS
 
 HOST = "127.0.0.1"
-WAIT_SECONDS = 5
+TIMEOUT_SECONDS = 5
 
 
 def echo(connection, _):
@@ -26,8 +26,8 @@
 
 
 @fixture
-def proxy(start, target):
-    process = start("proxy")
+def proxy(start_fake, target):
+    process = start_fake("proxy")
     address = {"host": HOST, "port": target}
     body = json.encode({"name": "echo", "address": address})
     answer = process.call("POST", "/targets", body)[1]
@@ -35,13 +35,13 @@
     return process
 
 
-def dial(proxy):
-    connection = create_connection((HOST, proxy.target_port), WAIT_SECONDS)
-    connection.settimeout(WAIT_SECONDS)
+def connect(proxy):
+    connection = create_connection((HOST, proxy.target_port), TIMEOUT_SECONDS)
+    connection.settimeout(TIMEOUT_SECONDS)
     return connection
 
 
-def talk(connection):
+def exchange_hello(connection):
     connection.sendall(b"hello")
     return connection.recv(100)
 
@@ -52,65 +52,65 @@
     return json.decode(body)["id"]
 
 
-def is_silent(connection):
+def gets_no_answer(connection):
     connection.settimeout(0.3)
     with raises(timeout):
-        talk(connection)
+        exchange_hello(connection)
     return True
 
 
 def test_bytes_pass_without_rules(proxy):
-    assert talk(dial(proxy)) == b"hello"
+    assert exchange_hello(connect(proxy)) == b"hello"
 
 
 def test_idle_connection_stays_open(proxy):
-    idle = dial(proxy)
-    sleep(DIAL_SECONDS + 0.2)
-    assert talk(idle) == b"hello"
+    idle = connect(proxy)
+    sleep(CONNECT_TIMEOUT_SECONDS + 0.2)
+    assert exchange_hello(idle) == b"hello"
 
 
-def test_silence_loses_bytes_while_new_connections_work(proxy):
-    old = dial(proxy)
-    assert talk(old) == b"hello"
+def test_silence_discards_bytes_of_open_connections_only(proxy):
+    old = connect(proxy)
+    assert exchange_hello(old) == b"hello"
     add_rule(proxy, action="silence", targets=["echo"])
-    assert is_silent(old)
-    assert talk(dial(proxy)) == b"hello"
+    assert gets_no_answer(old)
+    assert exchange_hello(connect(proxy)) == b"hello"
     proxy.call("DELETE", "/rules")
-    assert is_silent(old)
+    assert gets_no_answer(old)
 
 
-def test_silence_can_take_new_connections_too(proxy):
+def test_silence_with_new_too_affects_new_connections(proxy):
     add_rule(proxy, action="silence", targets=["echo"], new_too=True)
-    assert is_silent(dial(proxy))
+    assert gets_no_answer(connect(proxy))
 
 
-def test_cut_closes_and_refuses_until_lifted(proxy):
-    old = dial(proxy)
-    assert talk(old) == b"hello"
+def test_cut_closes_open_and_refuses_new_connections_until_removed(proxy):
+    old = connect(proxy)
+    assert exchange_hello(old) == b"hello"
     number = add_rule(proxy, action="cut", targets=["echo"])
     assert old.recv(100) == b""
-    assert dial(proxy).recv(100) == b""
+    assert connect(proxy).recv(100) == b""
     proxy.call("DELETE", f"/rules/{number}")
-    assert talk(dial(proxy)) == b"hello"
+    assert exchange_hello(connect(proxy)) == b"hello"
 
 
-def test_half_open_tells_the_source_nothing(proxy):
-    old = dial(proxy)
-    assert talk(old) == b"hello"
+def test_half_open_leaves_the_source_side_open_and_silent(proxy):
+    old = connect(proxy)
+    assert exchange_hello(old) == b"hello"
     add_rule(proxy, action="half_open", targets=["echo"])
-    assert is_silent(old)
+    assert gets_no_answer(old)
 
 
-def test_partition_holds_bytes_and_names_the_source(proxy):
+def test_partition_of_a_named_source_holds_bytes_until_removed(proxy):
     process = json.encode({"name": "me", "pid": getpid()})
     proxy.call("POST", "/processes", process)
-    connection = dial(proxy)
+    connection = connect(proxy)
     add_rule(proxy, action="partition", sources=["echo"], targets=["other"])
-    assert talk(connection) == b"hello"
+    assert exchange_hello(connection) == b"hello"
     add_rule(proxy, action="partition", sources=["echo"], targets=["me"])
-    assert is_silent(connection)
-    connection.settimeout(WAIT_SECONDS)
+    assert gets_no_answer(connection)
+    connection.settimeout(TIMEOUT_SECONDS)
     answer = spawn(connection.recv, 100)
     proxy.call("DELETE", "/rules")
-    with Timeout(WAIT_SECONDS):
+    with Timeout(TIMEOUT_SECONDS):
         assert answer.get() == b"hello"
--- a/tests/fakes/test_service.py
+++ b/tests/fakes/test_service.py
@@ -7,13 +7,13 @@
 from bergamotwood_fakes.record import Event, read_records
 
 
-def start_service(start, *options):
-    return start("service", "--id", "s1", "--service", "parcels", *options)
+def start_service(start_fake, *options):
+    return start_fake("service", "--id", "s1", "--service", "parcels", *options)
 
 
-def test_payment_is_recorded_with_its_key(start, tmp_path):
+def test_payment_is_recorded_with_its_key(start_fake, tmp_path):
     records = tmp_path / "s1.jsonl"
-    service = start_service(start, "--records", str(records))
+    service = start_service(start_fake, "--records", str(records))
     key = {"Idempotency_Key": "k1"}
     status, body = service.call("POST", "/payments/7", b'{"amount": 3}', **key)
     assert status == 200
@@ -23,29 +23,29 @@
     assert {run.key for run in runs} == {"k1"}
 
 
-def test_leaving_is_announced_and_work_is_finished(start):
-    heard = []
+def test_stopped_service_announces_leaving_and_finishes_requests(start_fake):
+    announcements = []
 
-    def answer(environ, start_response):
+    def accept_announcement(environ, start_response):
         body = environ["wsgi.input"].read()
-        heard.append(json.decode(body, type=Announcement))
+        announcements.append(json.decode(body, type=Announcement))
         start_response("200 OK", [])
         return [b"{}"]
 
-    entry = WSGIServer(("127.0.0.1", 0), answer, log=None)
+    entry = WSGIServer(("127.0.0.1", 0), accept_announcement, log=None)
     entry.start()
     address = f"127.0.0.1:{entry.server_port}"
     options = ("--entry", "127.0.0.1:1", "--entry", address, "--leave-seconds", "0")
-    service = start_service(start, *options, "--seconds", "0.5")
+    service = start_service(start_fake, *options, "--seconds", "0.5")
     call = spawn(service.call, "GET", "/availability/1")
-    while not heard or heard[-1].load < 1:
+    while not announcements or announcements[-1].load < 1:
         wait(timeout=0.02)
     service.process.terminate()
     joinall([call], timeout=10, raise_error=True)
     assert call.value[0] == 200
-    while heard[-1].state is not EndpointState.LEAVING:
+    while announcements[-1].state is not EndpointState.LEAVING:
         wait(timeout=0.02)
     assert service.process.wait(10) == 0
-    sequences = [announcement.sequence for announcement in heard]
+    sequences = [announcement.sequence for announcement in announcements]
     assert sequences == sorted(sequences)
     entry.stop()
