--- a/packages/fakes/src/bergamotwood_fakes/__init__.py
+++ b/packages/fakes/src/bergamotwood_fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, fault-injecting proxy and load tool."""
+"""Fakes of outside systems, a local fleet and a scenario runner."""
--- a/packages/fakes/src/bergamotwood_fakes/announcer.py
+++ b/packages/fakes/src/bergamotwood_fakes/announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a stand-in to the entries."""
+"""Announcements of a fake endpoint to the entries."""
 
 from collections.abc import Callable
 from time import time_ns
@@ -19,21 +19,21 @@
 
 
 def make_incarnation() -> Incarnation:
-    """Make a number that rises with each start, in milliseconds of the date."""
+    """Make a number that grows with each start: the Unix time in milliseconds."""
     return Incarnation(time_ns() // 1_000_000)
 
 
 class Announcer:
-    """Tells the entries about an endpoint, one entry at a time.
+    """Announces an endpoint periodically, to one entry at a time.
 
     Parameters
     ----------
     entries : tuple of Address
-        Tried in turn; the next one after a failure.
+        Entries to announce to; after a failure the next one is used.
     key : str
         Endpoint key.
     describe : callable
-        Gives the announcement of now; its sequence and state are set here.
+        Returns the current announcement; its sequence and state are set here.
     """
 
     def __init__(
@@ -54,24 +54,24 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the endpoint has said that it leaves."""
+        """Whether the endpoint has begun to announce that it leaves."""
         return self._state is EndpointState.LEAVING
 
     def run(self) -> None:
-        """Announce for ever."""
+        """Announce periodically until the greenlet is killed."""
         while True:
             accepted = self.announce()
             sleep(INTERVAL_SECONDS if accepted else RETRY_SECONDS)
 
     def leave(self) -> None:
-        """Announce that the endpoint leaves, to each entry until one hears."""
+        """Announce that the endpoint leaves, until one entry accepts it."""
         self._state = EndpointState.LEAVING
         for _ in self._entries:
             if self.announce():
                 return
 
     def announce(self) -> bool:
-        """Announce once and say whether an entry took it."""
+        """Announce once and return whether an entry accepted it."""
         if not self._entries:
             return False
         self._sequence += 1
@@ -85,7 +85,7 @@
         return False
 
     def _post(self, entry: Address, body: bytes) -> bool:
-        """Post an announcement to one entry."""
+        """Post an announcement to one entry and return whether it accepted it."""
         client = HTTPClient(
             entry.host,
             entry.port,
--- a/packages/fakes/src/bergamotwood_fakes/answer.py
+++ b/packages/fakes/src/bergamotwood_fakes/answer.py
@@ -1,4 +1,4 @@
-"""Answers of the engine stand-in, exact functions of version and prompt."""
+"""Answers of the fake engine, which depend only on version, prompt and length."""
 
 from hashlib import sha256
 from re import compile as compile_pattern
@@ -37,7 +37,7 @@
 
 
 def digest_messages(messages: list[dict]) -> bytes:
-    """Digest the messages of a chat, whatever the order of their fields."""
+    """Hash the messages of a chat, independently of the order of their fields."""
     return sha256(json.encode(messages, order="sorted")).digest()
 
 
@@ -47,7 +47,7 @@
 
 
 def _read_text(content: object) -> str:
-    """Read the text of one message's content, plain or in parts."""
+    """Read the text of a message, whose content is a string or a list of parts."""
     match content:
         case str():
             return content
@@ -58,14 +58,14 @@
 
 
 def compute_quality(mean_quality: float, messages: list[dict]) -> float:
-    """Quality of a version's answer to one prompt, by the prompt's difficulty.
+    """Compute the quality of an answer from the version and the prompt.
 
     Parameters
     ----------
     mean_quality : float
         Mean quality of the version, 0 to 1.
     messages : list of dict
-        The chat; its digest sets the difficulty.
+        The chat; its digest determines the difficulty.
     """
     difficulty = int.from_bytes(digest_messages(messages)[:4]) / 2**32 - 0.5
     return min(1.0, max(0.0, mean_quality - QUALITY_SPREAD * difficulty))
@@ -79,18 +79,18 @@
     Parameters
     ----------
     version : str
-        `model:version` that answers.
+        The answering version, as `model:version`.
     messages : list of dict
         The chat.
     quality : float
-        Quality of this answer, carried in its text.
+        Quality of this answer, which its text states.
     limit : int, optional
-        Exact number of tokens; else it follows from the prompt.
+        Exact number of tokens; by default it depends on the prompt.
 
     Returns
     -------
     list of str
-        At least two tokens: version and quality, then words.
+        At least two tokens: version and quality, then pseudo-random words.
     """
     seed = sha256(version.encode() + digest_messages(messages)).digest()
     count = limit or MIN_ANSWER_TOKENS + seed[0] % ANSWER_TOKEN_SPREAD
@@ -103,13 +103,13 @@
 
 
 def read_quality(answer: str) -> float | None:
-    """Read the quality that an answer carries, None when it has none."""
+    """Read the quality that an answer states, None when it states none."""
     match = QUALITY_PATTERN.search(answer)
     return float(match.group(1)) if match else None
 
 
 def check_answer(answer: str, messages: list[dict], limit: int | None) -> bool:
-    """Whether a text is the whole answer of the version that it names."""
+    """Whether a text is the complete answer of the version that it names."""
     quality = read_quality(answer)
     if quality is None:
         return False
--- a/packages/fakes/src/bergamotwood_fakes/batch.py
+++ b/packages/fakes/src/bergamotwood_fakes/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching of the engine stand-in: slots, prefill and prefix cache."""
+"""Timing of the fake engine: batch slots, prefill and prefix cache."""
 
 from collections import OrderedDict
 from heapq import heappop, heappush
@@ -10,6 +10,7 @@
 from xxhash import xxh64_intdigest
 
 BLOCK_WORDS = 64
+# Prefill time of a cached word, as a fraction of that of an uncached word.
 CACHED_WORD_COST = 0.1
 
 
@@ -19,11 +20,11 @@
     Parameters
     ----------
     token_seconds : float
-        Time for one token of a batch of one.
+        Time of a decode step of a batch of one request.
     batch_growth : float
-        Share by which each further request of the batch lengthens it.
+        Fraction by which each further request in the batch lengthens the step.
     prefill_seconds : float
-        Time for one prompt token that is not cached.
+        Time for one word of the prompt that is not cached.
     """
 
     token_seconds: float = 0.004
@@ -32,12 +33,12 @@
 
 
 class PrefixCache:
-    """Hashes of prompt prefixes, block by block, the oldest dropped first.
+    """An LRU cache of the hashes of prompt prefixes, in blocks of words.
 
     Parameters
     ----------
     capacity : int
-        Blocks of `BLOCK_WORDS` words that fit.
+        Maximum number of blocks of `BLOCK_WORDS` words.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -45,7 +46,7 @@
         self._blocks: OrderedDict[int, None] = OrderedDict()
 
     def look_up_and_store(self, version: str, words: list[str]) -> int:
-        """Count the cached words at the start of a prompt, and cache all of it."""
+        """Count the cached words at the start of a prompt and cache its full blocks."""
         cached = 0
         missed = False
         digest = xxh64_intdigest(version.encode())
@@ -58,7 +59,7 @@
         return cached
 
     def _store(self, digest: int) -> None:
-        """Put a block at the young end of the cache."""
+        """Store a block as the most recently used and evict the oldest ones."""
         self._blocks[digest] = None
         self._blocks.move_to_end(digest)
         while len(self._blocks) > self._capacity:
@@ -66,14 +67,14 @@
 
 
 class Batch:
-    """Requests that an engine runs at once, and those that wait for a slot.
+    """The batch of an engine, with a priority queue of waiting requests.
 
     Parameters
     ----------
     capacity : int
-        Requests of one batch.
+        Maximum number of requests in the batch.
     speed : Speed
-        How fast it goes.
+        Durations of prefill and decode steps.
     """
 
     def __init__(self, capacity: int, speed: Speed) -> None:
@@ -85,11 +86,11 @@
 
     @property
     def load(self) -> int:
-        """Requests running or waiting."""
+        """Number of running and waiting requests."""
         return self.running + len(self._queue)
 
     def acquire_slot(self, priority: int) -> None:
-        """Wait for a slot; a lower priority number goes first."""
+        """Wait for a slot; lower priority numbers are served first."""
         if self.running < self._capacity:
             self.running += 1
             return
@@ -98,7 +99,7 @@
         granted.wait()
 
     def release_slot(self) -> None:
-        """Give a slot back, or hand it to the next that waits."""
+        """Release a slot, or pass it to the next waiting request."""
         if not self._queue:
             self.running -= 1
             return
@@ -106,11 +107,11 @@
         granted.set()
 
     def prefill(self, words: int, cached: int) -> None:
-        """Spend the time that a prompt takes."""
+        """Sleep for the time that prefill of a prompt takes."""
         uncached_equivalent = words - cached * (1.0 - CACHED_WORD_COST)
         sleep(uncached_equivalent * self._speed.prefill_seconds)
 
     def decode_step(self) -> None:
-        """Spend the time of one token in the batch of now."""
+        """Sleep for the time of one decode step at the current batch size."""
         slowdown = 1.0 + self._speed.batch_growth * (self.running - 1)
         sleep(self._speed.token_seconds * slowdown)
--- a/packages/fakes/src/bergamotwood_fakes/caller.py
+++ b/packages/fakes/src/bergamotwood_fakes/caller.py
@@ -1,4 +1,4 @@
-"""A caller: asks for addresses, sends requests, and keeps transcripts."""
+"""A client of the fleet that retries requests and keeps transcripts."""
 
 from collections.abc import Iterator
 from random import Random
@@ -22,14 +22,14 @@
 
 
 class RetryPolicy(Struct, frozen=True):
-    """How long a caller waits and how often it tries.
+    """Timeout and number of attempts of a caller.
 
     Parameters
     ----------
     idle_timeout_seconds : float
-        Seconds without a byte after which a connection is given up.
+        Seconds without received bytes after which an attempt is abandoned.
     max_attempts : int
-        Sendings of one request at most.
+        Maximum number of attempts per request.
     """
 
     idle_timeout_seconds: float = 8.0
@@ -37,16 +37,16 @@
 
 
 class Caller:
-    """Sends requests to a fleet, as its users would.
+    """Sends requests to a fleet as its clients would.
 
     Parameters
     ----------
     fleet : Fleet
-        Where to send.
+        Fleet that receives the requests.
     random : Random
-        Of the choice among addresses.
+        Random source for the choice of entries and for retry delays.
     retry_policy : RetryPolicy, optional
-        Waits and tries.
+        Timeout and number of attempts.
     """
 
     def __init__(
@@ -60,14 +60,15 @@
         self.transcripts: list[Transcript] = []
 
     def send(self, request: Request, entries: tuple[str, ...] = ()) -> Transcript:
-        """Send a request until it is answered or the tries are used up.
+        """Send a request until it is answered, must not be resent or attempts run out.
 
         Parameters
         ----------
         request : Request
-            What to send.
+            Request to send.
         entries : tuple of str
-            Names of the entries to use in turn; the fleet is asked without.
+            Names of entries to use in turn; by default the fleet is asked for
+            addresses.
         """
         transcript = Transcript(request)
         self.transcripts.append(transcript)
@@ -85,7 +86,7 @@
     def send_concurrently(
         self, request: Request, entries: tuple[str, ...]
     ) -> Transcript:
-        """Send one request through several entries at once."""
+        """Send one request to several entries concurrently."""
         transcript = Transcript(request)
         self.transcripts.append(transcript)
         greenlets = [
@@ -98,7 +99,7 @@
         return transcript
 
     def fetch_addresses(self) -> list[Address]:
-        """Ask any entry that answers which ones to use."""
+        """Fetch the addresses to use from any entry that answers."""
         entries = list(self._fleet.entries)
         self._random.shuffle(entries)
         for entry in entries:
@@ -108,7 +109,7 @@
         return []
 
     def _cache_addresses(self, answer: dict) -> list[Address]:
-        """Keep an answer of `/v1/addresses` as long as it says."""
+        """Cache a response of `/v1/addresses` for its time to live."""
         self._addresses_expire_at = read_clock() + answer["ttl_seconds"]
         found = [parse_address(row["address"]) for row in answer["addresses"]]
         self._addresses = [
@@ -119,7 +120,7 @@
     def _choose_entry(
         self, entries: tuple[str, ...], attempt_number: int
     ) -> ManagedProcess:
-        """Choose the entry of one try."""
+        """Choose the entry for an attempt."""
         if entries:
             return self._fleet.members[entries[attempt_number % len(entries)]]
         if (
@@ -133,7 +134,7 @@
         return self._random.choice(usable or self._fleet.entries)
 
     def _may_resend(self, request: Request, attempt: Attempt) -> bool:
-        """Whether a careful caller sends a request again after a try."""
+        """Whether a request can safely be sent again after an attempt."""
         match attempt.outcome:
             case Outcome.ANSWERED:
                 return False
@@ -145,14 +146,14 @@
                 return request.idempotent or bool(request.key)
 
     def _wait_before_retry(self, attempt: Attempt) -> None:
-        """Wait before the next try."""
+        """Wait before the next attempt, with random jitter."""
         delay = max(
             MIN_RETRY_DELAY_SECONDS, min(attempt.retry_after, MAX_RETRY_DELAY_SECONDS)
         )
         gevent.sleep(delay * self._random.uniform(0.5, 1.0))
 
     def _send_once(self, request: Request, entry: ManagedProcess) -> Attempt:
-        """Send a request once, on a connection of its own."""
+        """Send a request once, on a new connection."""
         attempt = Attempt(entry.name, read_clock())
         client = HTTPClient(
             entry.public.host,
@@ -172,7 +173,7 @@
         return attempt
 
     def _exchange(self, client: HTTPClient, request: Request, attempt: Attempt) -> None:
-        """Send a request and read what comes back."""
+        """Send a request and read the response."""
         response = client.request(
             request.method,
             request.path,
@@ -210,12 +211,12 @@
 
 
 def make_caller_key(workspace: str) -> str:
-    """Make the key that callers of a workspace show."""
+    """Make the API key of a workspace's callers."""
     return f"caller-key-of-{workspace}"
 
 
 def _read_events(response: object) -> Iterator[bytes]:
-    """Read the data of server-sent events."""
+    """Yield the data of server-sent events."""
     while line := response.readline(b"\n\n"):
         line = bytes(line).strip()
         if line.startswith(EVENT_PREFIX):
@@ -223,7 +224,7 @@
 
 
 def _read_stream(events: Iterator[bytes], attempt: Attempt) -> None:
-    """Read a streamed answer; only its end marker makes it whole."""
+    """Read a streamed answer, which is complete only with its end marker."""
     for data in events:
         if data == DONE:
             attempt.outcome = Outcome.ANSWERED
@@ -240,7 +241,7 @@
 
 
 def _read_complete_answer(body: bytes, request: Request, attempt: Attempt) -> None:
-    """Read an answer that came in one piece."""
+    """Read an answer that was not streamed."""
     attempt.outcome = Outcome.ANSWERED
     if not request.is_chat:
         attempt.text = body.decode()
@@ -257,7 +258,7 @@
 
 
 def _read_cost_and_session(document: dict, attempt: Attempt) -> None:
-    """Read cost and session, where the answer tells them."""
+    """Read cost and session from an answer that contains them."""
     extension = document.get("bergamotwood")
     if extension is None:
         return
@@ -266,7 +267,7 @@
 
 
 def _read_problem(problem: dict, attempt: Attempt) -> None:
-    """Read a problem document."""
+    """Read a problem document into an attempt."""
     attempt.code = problem.get("code", 0)
     attempt.run = Run(problem["run"]) if "run" in problem else None
     attempt.detail = problem.get("detail", "")
--- a/packages/fakes/src/bergamotwood_fakes/checks.py
+++ b/packages/fakes/src/bergamotwood_fakes/checks.py
@@ -1,4 +1,4 @@
-"""The ten promises, judged from records, transcripts and the ledger."""
+"""Checks of the ten promises against records, transcripts and the ledger."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 def check_promises(evidence: Evidence) -> list[Violation]:
-    """Judge every promise and list the violations."""
+    """Check all promises and list the violations."""
     checks = (
         check_allowed_versions,
         check_withdrawn_versions,
@@ -36,7 +36,7 @@
 
 
 def check_allowed_versions(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that each run was on what its workspace allows."""
+    """Check that each run used a version that its workspace allows."""
     timeline = Timeline(evidence.tickets, evidence.lag)
     workspaces = _map_workspaces(evidence)
     for run in evidence.starts:
@@ -52,7 +52,7 @@
 
 
 def check_withdrawn_versions(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that a withdrawn version received no new work."""
+    """Check that withdrawn versions received no new work."""
     timeline = Timeline(evidence.tickets, evidence.lag)
     for run in evidence.starts:
         possible = timeline.find_possible(run.time)
@@ -63,7 +63,7 @@
 
 
 def check_sessions(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that each session kept the version that it started on."""
+    """Check that all answers of a session came from one version."""
     versions: dict[str, set[str]] = {}
     for attempt in _list_attempts(evidence):
         if attempt.outcome is Outcome.ANSWERED and attempt.session:
@@ -76,7 +76,7 @@
 
 
 def check_bills(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that each answered request is in the ledger exactly once."""
+    """Check that each answered request was billed exactly once."""
     promise = "billed once"
     if evidence.bills is None:
         yield Violation(promise, "the ledger could not be read")
@@ -95,7 +95,7 @@
 def _check_bill(
     transcript: Transcript, ids: Counter, keys: Counter
 ) -> Iterator[Violation]:
-    """Judge the bills of one request."""
+    """Check the bills of one request."""
     request = transcript.request
     if request.key:
         billed = keys[(request.workspace, request.key)]
@@ -116,7 +116,7 @@
 
 
 def check_whole_answers(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that each answer is the whole answer to its own request."""
+    """Check that each answer is complete and belongs to its request."""
     for transcript in evidence.transcripts:
         for attempt in transcript.tries:
             if attempt.outcome is not Outcome.ANSWERED:
@@ -130,7 +130,7 @@
 
 
 def _is_own_answer(transcript: Transcript, attempt: Attempt) -> bool:
-    """Whether an answer is whole and belongs to its request."""
+    """Whether an answer is complete and belongs to its request."""
     request = transcript.request
     if request.is_chat:
         return check_answer(attempt.text, request.messages, request.max_tokens)
@@ -147,7 +147,7 @@
 
 
 def check_not_run(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that a try that was refused as not run did not run."""
+    """Check that attempts refused as not run did not run."""
     runs: dict[str, list[Record]] = {}
     for run in evidence.starts:
         runs.setdefault(run.mark, []).append(run)
@@ -165,7 +165,7 @@
 
 
 def _is_run_of_attempt(run: Record, attempt: Attempt) -> bool:
-    """Whether a run at an endpoint is the work of a try."""
+    """Whether a run at an endpoint was caused by an attempt."""
     if attempt.request_id:
         return run.request == attempt.request_id
     started_during_attempt = attempt.began <= run.time <= attempt.ended
@@ -173,7 +173,7 @@
 
 
 def check_at_most_once(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that each non-idempotent request ran at most once."""
+    """Check that each non-idempotent request ran at most once."""
     non_idempotent_marks = {
         transcript.request.mark
         for transcript in evidence.transcripts
@@ -189,7 +189,7 @@
 
 
 def _check_one_answer(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that all answers to a non-idempotent request are the same."""
+    """Check that all answers to a non-idempotent request are equal."""
     for transcript in evidence.transcripts:
         if transcript.request.idempotent:
             continue
@@ -199,36 +199,36 @@
             if attempt.outcome is Outcome.ANSWERED
         }
         if len(answers) > 1:
-            detail = f"{transcript.request.mark} has {len(answers)} unlike answers"
+            detail = f"{transcript.request.mark} has {len(answers)} different answers"
             yield Violation("at most once", detail)
 
 
 def check_leaving_endpoints(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that an endpoint that leaves receives no new work after a while."""
+    """Check that a leaving endpoint gets no new work after the grace period."""
     for planned_stop in evidence.departures:
         limit = planned_stop.told + LEAVE_GRACE_SECONDS
         end = planned_stop.ended or float("inf")
         for run in evidence.starts:
             if run.endpoint == planned_stop.name and limit < run.time <= end:
                 delay = run.time - planned_stop.told
-                detail = f"{delay:.1f} s after it left: {_describe_run(run)}"
+                detail = f"{delay:.1f} s after its shutdown began: {_describe_run(run)}"
                 yield Violation("leaving endpoint", detail)
 
 
 def check_graceful_shutdown(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that a planned stop cut off no request in flight."""
+    """Check that graceful shutdowns succeeded and broke no request."""
     for planned_stop in evidence.departures:
         if planned_stop.exit_code not in (0, None):
-            detail = f"{planned_stop.name} ended with {planned_stop.exit_code}"
+            detail = f"{planned_stop.name} exited with status {planned_stop.exit_code}"
             yield Violation("graceful shutdown", detail)
         for attempt in _list_attempts(evidence):
             if _was_interrupted(attempt, planned_stop):
-                detail = f"{planned_stop.name} cut a request: {attempt.detail}"
+                detail = f"{planned_stop.name} broke a request: {attempt.detail}"
                 yield Violation("graceful shutdown", detail)
 
 
 def _was_interrupted(attempt: Attempt, planned_stop: PlannedStop) -> bool:
-    """Whether a try broke while its entry was stopping."""
+    """Whether an attempt broke while its entry was shutting down."""
     if attempt.entry != planned_stop.name or attempt.outcome is not Outcome.BROKEN:
         return False
     end = planned_stop.ended or float("inf")
@@ -236,7 +236,7 @@
 
 
 def check_configuration(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that accepted tickets are in force soon and never revert."""
+    """Check that accepted tickets take effect in time and are never reverted."""
     promise = "configuration"
     for number, kept in evidence.kept_tickets.items():
         if not kept:
@@ -248,19 +248,21 @@
             contents.setdefault(ticket.number, set()).add(content)
     for number, found in contents.items():
         if len(found) > 1:
-            yield Violation(promise, f"number {number} was accepted twice")
+            yield Violation(
+                promise, f"number {number} was accepted with different contents"
+            )
     yield from _check_samples(evidence)
 
 
 def _check_samples(evidence: Evidence) -> Iterator[Violation]:
-    """Judge what entries said of their configuration over time."""
+    """Check the samples of the entries' configurations."""
     timeline = Timeline(evidence.tickets, evidence.lag)
     newest: dict[tuple[str, int], int] = {}
     late: set[tuple[str, int]] = set()
     for sample in evidence.samples:
         process = (sample.entry, sample.process)
         if sample.ticket < newest.get(process, 0):
-            detail = f"{sample.entry} went back to ticket {sample.ticket}"
+            detail = f"{sample.entry} reverted to ticket {sample.ticket}"
             yield Violation("configuration", detail)
         newest[process] = max(sample.ticket, newest.get(process, 0))
         if sample.age is None or sample.age > MAX_FRESH_AGE_SECONDS or sample.draining:
@@ -268,18 +270,18 @@
         wanted = timeline.find_possible(sample.time)[0].number
         if sample.ticket < wanted and (sample.entry, wanted) not in late:
             late.add((sample.entry, wanted))
-            detail = f"{sample.entry} serves ticket {sample.ticket}, not {wanted}"
+            detail = f"{sample.entry} applies ticket {sample.ticket}, expected {wanted}"
             yield Violation("configuration", detail)
 
 
 def check_unexpected_events(evidence: Evidence) -> Iterator[Violation]:
-    """Judge that nothing ended by itself."""
+    """Check that no process exited unexpectedly or failed to stop."""
     for surprise in evidence.surprises:
         yield Violation("processes", surprise)
 
 
 def _map_workspaces(evidence: Evidence) -> dict[str, str]:
-    """Map the marks of requests to their workspaces."""
+    """Map the mark of each request to its workspace."""
     return {
         transcript.request.mark: transcript.request.workspace
         for transcript in evidence.transcripts
@@ -287,11 +289,11 @@
 
 
 def _list_attempts(evidence: Evidence) -> Iterator[Attempt]:
-    """List the tries of all requests."""
+    """List the attempts of all requests."""
     for transcript in evidence.transcripts:
         yield from transcript.tries
 
 
 def _describe_run(run: Record) -> str:
-    """Describe a run in a line."""
+    """Describe a run for a violation."""
     return f"{run.version} at {run.endpoint}, request {run.request}, {run.mark}"
--- a/packages/fakes/src/bergamotwood_fakes/demo.py
+++ b/packages/fakes/src/bergamotwood_fakes/demo.py
@@ -27,11 +27,11 @@
 
 
 class DemoError(ClickException):
-    """Something in the demonstration did not go as it should."""
+    """The demonstration failed."""
 
 
 def read_chapter(path: Path | None) -> str:
-    """Read a text to be sent, by default the project's pages, as often as needed."""
+    """Read the text to send, by default the project's pages, repeated as needed."""
     if path is not None:
         return path.read_text()
     pages = "\n\n".join(page.read_text() for page in sorted(DOCS.rglob("*.md")))
@@ -39,12 +39,12 @@
 
 
 class Demo:
-    """Sends a few requests of a workspace and shows answers and bills.
+    """Sends requests for a workspace and prints answers and bills.
 
     Parameters
     ----------
     fleet : Fleet
-        The fleet, started.
+        The started fleet.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -53,7 +53,7 @@
         self._fleet = fleet
 
     def apply_ticket(self, path: Path) -> None:
-        """Apply a ticket file and wait until it is in force everywhere."""
+        """Submit a ticket file and wait until all entries apply it."""
         content = yaml.decode(path.read_bytes())
         number = content.pop("number")
         ticket = self._operator.submit(number, content)
@@ -83,7 +83,7 @@
         self._show_bills()
 
     def _is_ready(self, number: int) -> bool:
-        """Whether each entry has a ticket in force and knows all endpoints."""
+        """Whether each entry applies a ticket and knows all endpoints."""
         endpoint_count = len(self._fleet.plan.engines) + len(self._fleet.plan.services)
         for entry in self._fleet.entries:
             status = self._fleet.read_status(entry)
@@ -94,14 +94,14 @@
         return True
 
     def _send(self, request: Request, entries: tuple[str, ...] = ()) -> Transcript:
-        """Send a request that has to be answered."""
+        """Send a request and fail when it is not answered."""
         transcript = self._caller.send(request, entries)
         if transcript.answer is None:
             raise DemoError(f"{request.mark}: {transcript.tries[-1].detail}")
         return transcript
 
     def _show(self, transcript: Transcript) -> None:
-        """Print an answer, with model, version and cost."""
+        """Print an answer with its entry, version, cost and duration."""
         attempt = transcript.answer
         version = f"version {attempt.version}  " if attempt.version else ""
         cost = f"cost {attempt.cost:.4f}  " if attempt.cost else ""
@@ -110,7 +110,7 @@
         echo(f"  {attempt.text[:OUTPUT_WIDTH]}")
 
     def _show_bills(self) -> None:
-        """Print the one bill of each request."""
+        """Print the bills and check that there is one for each request."""
         bills = self._operator.read_bills()
         echo("\nbills")
         for bill in bills:
@@ -123,11 +123,13 @@
                 f"  {bill['request']:<40} {key:<14} cost {bill['cost']:.4f}  {attempts}"
             )
         if len(bills) != 3:
-            raise DemoError(f"{len(bills)} bills for three requests")
+            raise DemoError(
+                f"expected one bill for each of three requests, found {len(bills)}"
+            )
 
 
 def show_usage(fleet: Fleet) -> None:
-    """Print how to reach a fleet that stays up."""
+    """Print how to send requests to a fleet that keeps running."""
     address = fleet.entries[0].address
     key = make_caller_key(WORKSPACE)
     echo("\nentries: " + "  ".join(str(entry.address) for entry in fleet.entries))
@@ -165,7 +167,7 @@
 
 
 def _demonstrate(fleet: Fleet, text: Path | None, stay: bool) -> None:
-    """Run the demonstration on a fleet that is not started yet."""
+    """Start a fleet, run the demonstration on it and stop it."""
     fleet.start()
     echo(f"started {len(fleet.members)} processes")
     demo = Demo(fleet)
@@ -177,7 +179,7 @@
     exit_codes = fleet.stop()
     failed = {name: code for name, code in exit_codes.items() if code != 0}
     if failed:
-        raise DemoError(f"not stopped gracefully: {failed}")
+        raise DemoError(f"processes did not shut down gracefully: {failed}")
     echo(f"\nstopped {len(exit_codes)} processes gracefully")
 
 
--- a/packages/fakes/src/bergamotwood_fakes/engine.py
+++ b/packages/fakes/src/bergamotwood_fakes/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: `python -m bergamotwood_fakes.engine`."""
+"""Fake model engine: `python -m bergamotwood_fakes.engine`."""
 
 from collections.abc import Iterator
 from os import _exit
@@ -49,28 +49,28 @@
 
 
 class BrokenStreamError(Exception):
-    """A fault that breaks the connection in the middle of a stream."""
+    """Injected fault that closes the connection in the middle of a stream."""
 
 
 class Engine:
-    """A model engine that answers in the OpenAI chat form.
+    """A model engine that answers in the format of the OpenAI chat API.
 
     Parameters
     ----------
     batch : Batch
-        Its slots and speed.
+        Batch slots and decode times.
     cache : PrefixCache
-        Its prompt cache.
+        Prefix cache.
     loader : Loader
-        Its loaded versions.
+        Loaded versions.
     recorder : Recorder
-        Keeps the record of its runs.
+        Records the runs.
     qualities : dict of str to float
-        Mean quality of versions.
+        Mean quality by version.
     order_key : str
-        Key that orders must carry, empty for none.
+        Key required in orders; empty for none.
     poison : str
-        Prompts that contain it crash the process; empty for none.
+        Text that crashes the process when a prompt contains it; empty for none.
     """
 
     def __init__(
@@ -95,11 +95,11 @@
 
     @property
     def load(self) -> int:
-        """Requests running or waiting."""
+        """Number of running and waiting requests."""
         return self._batch.load
 
     def handle_request(self, environ: Environ, start_response: StartResponse):  # noqa: ANN201
-        """Answer one HTTP request (a WSGI application)."""
+        """Handle one HTTP request (a WSGI application)."""
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/v1/chat/completions":
                 return self._handle_chat(environ, start_response)
@@ -111,7 +111,7 @@
                 return make_error_response(404, "no such path").send(start_response)
 
     def _set_faults(self, environ: Environ) -> Response:
-        """Replace the faults in force."""
+        """Replace the injected faults."""
         try:
             self._faults = json.decode(read_body(environ), type=Faults)
         except (DecodeError, ValidationError) as error:
@@ -119,7 +119,7 @@
         return make_json_response(self._faults)
 
     def _handle_order(self, environ: Environ) -> Response:
-        """Take an order to load a version."""
+        """Handle an order to load or unload a version."""
         if not check_bearer(environ, self._order_key):
             return make_error_response(401, "wrong key")
         try:
@@ -137,7 +137,7 @@
             return make_error_response(400, str(error)).send(start_response)
         version = read_header(environ, "Bergamotwood-Version") or chat.model
         if version not in self._loader.versions:
-            return make_error_response(404, f"{version} not loaded").send(
+            return make_error_response(404, f"{version} is not loaded").send(
                 start_response
             )
         if self._draws_error(version):
@@ -148,7 +148,7 @@
         return self._stream(environ, run, chat, first_index)
 
     def _draws_error(self, version: str) -> bool:
-        """Whether the error fault strikes this request."""
+        """Whether this request fails, drawn with the injected error rate."""
         if not self._faults.matches(version):
             return False
         return self._random.random() < self._faults.error_rate
@@ -156,7 +156,7 @@
     def _stream(
         self, environ: Environ, run: Record, chat: Chat, first_index: int
     ) -> Iterator[bytes]:
-        """Run a request in the batch and give its server-sent events."""
+        """Run a request in the batch and yield its server-sent events."""
         sent_events = 0
         finished = False
         self._batch.acquire_slot(chat.priority)
@@ -174,7 +174,7 @@
     def _generate_events(
         self, run: Record, chat: Chat, first_index: int
     ) -> Iterator[bytes]:
-        """Spend the time of a request and make its events."""
+        """Yield the events of a request as the batch produces them."""
         prompt = join_prompt(chat.messages)
         if self._poison and self._poison in prompt:
             _exit(CRASH_EXIT_CODE)
@@ -196,14 +196,14 @@
     def _send_tokens(
         self, request: str, tokens: list[str], first_index: int
     ) -> Iterator[bytes]:
-        """Make a chunk of each token, at the speed of the batch."""
+        """Yield one chunk per token, at the speed of the batch."""
         for index in self._order_chunks(first_index, len(tokens)):
             self._batch.decode_step()
             self._apply_stream_fault(index)
             yield _make_chunk(request, index, tokens[index])
 
     def _order_chunks(self, first: int, end: int) -> list[int]:
-        """Order the indices of chunks as the faults want it."""
+        """List the indices of the chunks, reordered or repeated by faults."""
         indices = list(range(first, end))
         if self._faults.reorder:
             for position in range(0, len(indices) - 1, 2):
@@ -214,7 +214,7 @@
         return indices
 
     def _apply_stream_fault(self, index: int) -> None:
-        """Let the stream break or go silent when a fault says so."""
+        """Break or stall the stream when a fault applies at this token."""
         faults = self._faults
         if faults.break_after is not None and index >= faults.break_after:
             raise BrokenStreamError
@@ -224,7 +224,7 @@
             raise BrokenStreamError
 
     def _get_quality(self, version: str) -> float:
-        """Mean quality of a version, or what a fault makes of it."""
+        """Get the mean quality of a version, which a fault can replace."""
         faults = self._faults
         if faults.bad_quality is not None and faults.matches(version):
             return faults.bad_quality
@@ -232,19 +232,19 @@
 
 
 def _make_chunk(request: str, index: int, token: str) -> bytes:
-    """Make the server-sent event of one token."""
+    """Make the server-sent event for one token."""
     choice = {"index": 0, "delta": {"content": token}, "finish_reason": None}
     return _make_event(request, index, choice, None)
 
 
 def _make_last_chunk(request: str, index: int, usage: dict) -> bytes:
-    """Make the server-sent event that ends the answer."""
+    """Make the last server-sent event, with the finish reason and the usage."""
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
     return _make_event(request, index, choice, usage)
 
 
 def _make_event(request: str, index: int, choice: dict, usage: dict | None) -> bytes:
-    """Make one server-sent event in the OpenAI form."""
+    """Make one server-sent event in the format of the OpenAI API."""
     chunk = {
         "id": request,
         "object": "chat.completion.chunk",
@@ -257,23 +257,27 @@
 
 
 def _parse_qualities(texts: tuple[str, ...]) -> dict[str, float]:
-    """Read `model:version=quality` options."""
+    """Parse the `model:version=quality` options."""
     pairs = (text.rsplit("=", 1) for text in texts)
     return {version: float(quality) for version, quality in pairs}
 
 
 @command()
 @add_endpoint_options
-@option("--version", "versions", multiple=True, help="Loaded at the start.")
+@option("--version", "versions", multiple=True, help="Version loaded at the start.")
 @option("--quality", "qualities", multiple=True, help="model:version=0.9")
 @option("--token-seconds", type=float, default=0.004, show_default=True)
 @option("--batch-growth", type=float, default=0.05, show_default=True)
 @option("--prefill-seconds", type=float, default=0.00002, show_default=True)
 @option("--cache-blocks", type=int, default=2_000, show_default=True)
 @option("--weights", type=ADDRESS, help="The weight store.")
-@option("--order-key", default="", help="Key that orders must carry.")
+@option("--order-key", default="", help="Key required in orders.")
 @option("--checks-fencing/--no-checks-fencing", default=True)
-@option("--poison", default="", help="A prompt with this text crashes the process.")
+@option(
+    "--poison",
+    default="",
+    help="Text that crashes the process when a prompt contains it.",
+)
 def main(
     identity: str,
     listen: Address,
@@ -295,7 +299,7 @@
     checks_fencing: bool,
     poison: str,
 ) -> None:
-    """Run a model engine stand-in until SIGTERM."""
+    """Run a fake model engine until SIGTERM."""
     suspects = find_unfinished(read_records(records)) if records else []
     endpoint_identity = Identity(EndpointId(identity), make_incarnation())
     speed = Speed(token_seconds, batch_growth, prefill_seconds)
--- a/packages/fakes/src/bergamotwood_fakes/evidence.py
+++ b/packages/fakes/src/bergamotwood_fakes/evidence.py
@@ -1,4 +1,4 @@
-"""What a scenario leaves behind for its checks."""
+"""Evidence of a scenario run, from which the checks find violations."""
 
 from msgspec import Struct, field
 
@@ -7,18 +7,18 @@
 
 
 class TicketSubmission(Struct):
-    """A ticket that was submitted.
+    """A submitted ticket.
 
     Parameters
     ----------
     number : int
-        Its number.
+        Number of the ticket.
     content : dict
-        The whole ticket.
+        The complete ticket.
     sent, answered : float
-        Seconds on the machine's clock.
+        Times of the first attempt and of the answer, in seconds since boot.
     accepted : bool or None
-        None when no answer came.
+        Whether it was accepted; None when no answer was received.
     """
 
     number: int
@@ -29,7 +29,7 @@
 
 
 class Sample(Struct):
-    """What an entry said of its configuration at a time."""
+    """The status of an entry's configuration at a time."""
 
     time: float
     entry: str
@@ -40,7 +40,7 @@
 
 
 class PlannedStop(Struct):
-    """A process that was told to stop, and when it had ended."""
+    """A graceful shutdown: when it was requested and when the process exited."""
 
     name: str
     told: float
@@ -49,28 +49,29 @@
 
 
 class Evidence(Struct):
-    """Records of endpoints, transcripts of callers, and the ledger.
+    """Transcripts, records, tickets and bills of a scenario run.
 
     Parameters
     ----------
     transcripts : list of Transcript
-        All requests.
+        Transcripts of all requests.
     records : list of Record
-        What endpoints ran, in order of time.
+        Records of the runs at endpoints, ordered by time.
     tickets : list of TicketSubmission
-        In the order in which they were sent.
+        Submitted tickets, in the order in which they were sent.
     bills : list of dict or None
-        The ledger as an entry gives it; None when it could not be read.
+        Bills of the ledger as an entry returns them; None when it could not be
+        read.
     samples : list of Sample
-        Of the entries' configuration.
+        Samples of the entries' configurations.
     departures : list of PlannedStop
-        Planned stops.
+        Graceful shutdowns of single processes.
     surprises : list of str
-        Processes that ended by themselves, and what else went wrong.
+        Descriptions of unexpected exits and of failed shutdowns.
     kept_tickets : dict of int to bool
-        Whether an accepted ticket is still known at the end.
+        Whether each of the latest accepted tickets is still stored at the end.
     lag : float
-        Seconds in which a ticket must be in force.
+        Seconds within which all entries must apply an accepted ticket.
     """
 
     transcripts: list[Transcript]
@@ -85,12 +86,12 @@
 
     @property
     def starts(self) -> list[Record]:
-        """Starts of runs."""
+        """The records of the starts of runs."""
         return [record for record in self.records if record.event is Event.START]
 
 
 class Violation(Struct):
-    """A promise that did not hold."""
+    """A promise that was violated."""
 
     promise: str
     detail: str
--- a/packages/fakes/src/bergamotwood_fakes/expectation.py
+++ b/packages/fakes/src/bergamotwood_fakes/expectation.py
@@ -1,4 +1,4 @@
-"""Expectations of a scenario against transcripts and records."""
+"""Checks of a scenario's expectations against transcripts and records."""
 
 from collections.abc import Iterator
 
@@ -10,7 +10,7 @@
 def find_unmet(
     expect: ExpectStep, transcripts: list[Transcript], records: list[Record]
 ) -> list[str]:
-    """List what is expected and does not hold."""
+    """List the expectations that are not met."""
     name = expect.of or "all"
     unmet = [
         *_check_outcomes(expect, transcripts),
@@ -19,19 +19,19 @@
     ]
     gap = measure_gap(transcripts)
     if expect.longest_gap is not None and gap > expect.longest_gap:
-        unmet.append(f"gap of {gap:.1f} s, at most {expect.longest_gap}")
+        unmet.append(f"gap of {gap:.1f} s, expected at most {expect.longest_gap} s")
     return [f"{name}: {detail}" for detail in unmet]
 
 
 def count_outcomes(transcripts: list[Transcript], outcome: Outcome) -> int:
-    """Count the requests that ended in one way."""
+    """Count the finished requests with an outcome."""
     return sum(
         transcript.done and transcript.outcome is outcome for transcript in transcripts
     )
 
 
 def measure_gap(transcripts: list[Transcript]) -> float:
-    """Measure the longest time without an answer while requests waited."""
+    """Measure the longest time without an answer while requests were waiting."""
     ends = sorted(
         transcript.answer.ended
         for transcript in transcripts
@@ -57,12 +57,12 @@
 
 
 def _is_unanswered(transcript: Transcript, time: float) -> bool:
-    """Whether a request had no answer yet at a time."""
+    """Whether a request was unanswered at a time."""
     return transcript.answer is None or transcript.answer.ended > time
 
 
 def _check_outcomes(expect: ExpectStep, transcripts: list[Transcript]) -> Iterator[str]:
-    """Check how many requests ended in which way."""
+    """Check the number of requests by outcome."""
     for outcome, bounds in (
         (Outcome.ANSWERED, expect.answered),
         (Outcome.REFUSED, expect.refused),
@@ -76,32 +76,32 @@
 
 
 def _check_codes(expect: ExpectStep, transcripts: list[Transcript]) -> Iterator[str]:
-    """Check result codes and versions."""
+    """Check the result codes and the answering versions."""
     tries = [attempt for transcript in transcripts for attempt in transcript.tries]
     given = {attempt.code for attempt in tries if attempt.code}
     for code in expect.seen:
         if code not in given:
-            yield f"code {code} was never given, only {sorted(given)}"
+            yield f"code {code} was never returned, only {sorted(given)}"
     if expect.codes is not None:
         for code in sorted(given - set(expect.codes)):
-            yield f"code {code}: {_find_detail(tries, code)}"
+            yield f"unexpected code {code}: {_find_detail(tries, code)}"
     if expect.versions is None:
         return
     answered = [attempt for attempt in tries if attempt.outcome is Outcome.ANSWERED]
     versions = {attempt.text.split(" ", 1)[0] for attempt in answered}
     for version in sorted(versions - set(expect.versions)):
-        yield f"answered by {version}"
+        yield f"unexpected answer by {version}"
 
 
 def _find_detail(tries: list[Attempt], code: int) -> str:
-    """Find what the first error of a code said."""
+    """Find the detail of the first error with a code."""
     return next(attempt.detail for attempt in tries if attempt.code == code)
 
 
 def _check_runs(
     expect: ExpectStep, transcripts: list[Transcript], records: list[Record]
 ) -> Iterator[str]:
-    """Check how often requests ran at endpoints."""
+    """Check the number of runs at endpoints."""
     if expect.ran is None:
         return
     marks = {transcript.request.mark for transcript in transcripts}
--- a/packages/fakes/src/bergamotwood_fakes/fault.py
+++ b/packages/fakes/src/bergamotwood_fakes/fault.py
@@ -1,27 +1,28 @@
-"""Faults that a stand-in can be told to show."""
+"""Faults that can be injected into a fake endpoint."""
 
 from msgspec import Struct
 
 
 class Faults(Struct, forbid_unknown_fields=True):
-    """Faults in force; the default is none.
+    """Injected faults; by default there are none.
 
     Parameters
     ----------
     silent_after, break_after : int, optional
-        Tokens after which a stream goes silent, or its connection breaks.
+        Number of tokens after which a stream stalls, or its connection is closed.
     reorder, repeat : bool
-        Swap, or send twice, neighbouring chunks of a stream.
+        Swap neighbouring chunks of a stream, or send each chunk twice.
     error_rate : float
-        Chance that a request is answered 500, not run.
+        Probability that a request gets status 500 without being run.
     extra_latency : float
         Seconds added before the first byte.
     late : float
-        Seconds between running a request and answering it.
+        Seconds between running a request and sending its answer.
     bad_quality : float, optional
-        Quality of every answer in place of the version's own.
+        Quality of every answer, instead of the version's own.
     bad_version : str
-        The only version that `bad_quality` and `error_rate` touch; empty for all.
+        The only version affected by `bad_quality` and `error_rate`; empty for
+        all versions.
     """
 
     silent_after: int | None = None
@@ -35,5 +36,5 @@
     bad_version: str = ""
 
     def matches(self, version: str) -> bool:
-        """Whether faults of versions touch this one."""
+        """Whether `bad_quality` and `error_rate` apply to a version."""
         return self.bad_version in ("", version)
--- a/packages/fakes/src/bergamotwood_fakes/fleet.py
+++ b/packages/fakes/src/bergamotwood_fakes/fleet.py
@@ -1,4 +1,4 @@
-"""A local fleet of daemons and stand-ins, each a process of its own."""
+"""A local fleet of daemons and fakes, each in its own process."""
 
 from collections.abc import Callable
 from hashlib import sha256
@@ -29,11 +29,11 @@
 
 
 class FleetError(Exception):
-    """The fleet did not come to a state that was waited for."""
+    """An operation on the fleet failed or timed out."""
 
 
 def hash_key(key: str) -> str:
-    """Hash a key as settings and tickets hold it."""
+    """Hash a key in the form that settings and tickets contain."""
     return sha256(key.encode()).hexdigest()
 
 
@@ -42,29 +42,29 @@
     timeout_seconds: float,
     description: str = "condition",
 ) -> None:
-    """Wait for a condition.
+    """Wait until a condition is true.
 
     Raises
     ------
     FleetError
-        When it does not hold within the time.
+        When it does not become true in time.
     """
     deadline = read_clock() + timeout_seconds
     while not condition():
         if read_clock() > deadline:
-            raise FleetError(f"{description}: not within {timeout_seconds} s")
+            raise FleetError(f"{description}: timed out after {timeout_seconds} s")
         sleep(POLL_SECONDS)
 
 
 def send_http_request(
     address: Address, method: str, path: str, body: bytes = b"", key: str = ""
 ) -> tuple[int, bytes]:
-    """Call an HTTP interface once.
+    """Send one HTTP request.
 
     Returns
     -------
     tuple of int and bytes
-        Status and body; status 0 when there was no answer.
+        Status and body; status 0 when no response was received.
     """
     client = HTTPClient(address.host, address.port, network_timeout=10.0)
     headers = {"Content-Type": "application/json"}
@@ -80,14 +80,14 @@
 
 
 class Fleet:
-    """Starts, hurts and stops the processes of a plan.
+    """Starts and stops the processes of a plan and injects faults.
 
     Parameters
     ----------
     plan : FleetPlan
-        What there is.
+        Processes of the fleet and their options.
     folder : Path
-        Takes settings, data, records and logs.
+        Folder for settings, data, records and logs.
     """
 
     def __init__(self, plan: FleetPlan, folder: Path) -> None:
@@ -107,12 +107,12 @@
 
     @property
     def entries(self) -> list[ManagedProcess]:
-        """The daemons."""
+        """The daemons, all of which are entries."""
         names = {name_entry(number + 1) for number in range(self.plan.entries)}
         return [member for name, member in self.members.items() if name in names]
 
     def start(self) -> None:
-        """Start everything and wait until the daemons listen."""
+        """Start all processes and wait until the daemons answer."""
         if self.plan.proxy:
             self._add_proxy()
         self._add_platform()
@@ -126,7 +126,7 @@
             self.wait_for_status(entry)
 
     def launch(self, name: str) -> None:
-        """Start one process, and let the proxy know it."""
+        """Start one process and register its process id at the proxy."""
         member = self.members[name]
         member.launch()
         if self._proxy_process is not None and member is not self._proxy_process:
@@ -136,29 +136,31 @@
             )
 
     def wait_for_status(self, entry: ManagedProcess) -> None:
-        """Wait until a daemon answers operators."""
+        """Wait until a daemon answers a status request."""
 
         def has_answered() -> bool:
             if not entry.running:
-                raise FleetError(f"{entry.name} ended with {entry.process.poll()}")
+                raise FleetError(
+                    f"{entry.name} exited with status {entry.process.poll()}"
+                )
             return self.read_status(entry) is not None
 
         wait_until(has_answered, READY_TIMEOUT_SECONDS, f"{entry.name} answers")
 
     def read_status(self, entry: ManagedProcess) -> dict | None:
-        """Read `/v1/status` of a daemon, None when it does not answer."""
+        """Get `/v1/status` of a daemon, None when it does not answer."""
         status, body = send_http_request(
             entry.address, "GET", "/v1/status", key=OPERATOR_KEY
         )
         return json.decode(body) if status == 200 else None
 
     def stop(self) -> dict[str, int | None]:
-        """Stop all by graceful shutdown, endpoints first.
+        """Shut all processes down gracefully: endpoints, daemons, then the rest.
 
         Returns
         -------
-        dict of str to int
-            Exit code by name.
+        dict of str to int or None
+            Exit code by name, None for a process that did not exit in time.
         """
         daemons = self.entries
         fakes = [member for member in self.members.values() if member not in daemons]
@@ -174,40 +176,40 @@
         return exit_codes
 
     def lose_disk(self, name: str) -> None:
-        """Remove the data folder of a daemon that does not run."""
+        """Kill a daemon and erase its data folder."""
         member = self.members[name]
         member.kill()
         rmtree(member.data_folder)
         member.data_folder.mkdir()
 
     def add_rule(self, rule: Rule) -> int:
-        """Put a rule in force at the proxy and return its number."""
+        """Add a rule to the proxy and return its number."""
         _, body = send_http_request(
             self._proxy_process.address, "POST", "/rules", json.encode(rule)
         )
         return json.decode(body)["id"]
 
     def clear_rules(self) -> None:
-        """Lift all rules of the proxy."""
+        """Remove all rules from the proxy."""
         send_http_request(self._proxy_process.address, "DELETE", "/rules")
 
     def set_faults(self, name: str, faults: dict) -> None:
-        """Set the faults of a stand-in."""
+        """Inject faults into a fake endpoint, replacing earlier ones."""
         body = json.encode(faults)
         status, answer = send_http_request(
             self.members[name].address, "POST", "/fault", body
         )
         if status != 200:
-            raise FleetError(f"faults of {name}: {answer.decode()}")
+            raise FleetError(f"{name} rejected its faults: {answer.decode()}")
 
     def read_records(self) -> list[Record]:
-        """Read what all endpoints ran, in order of time."""
+        """Read the records of all endpoints, ordered by time."""
         paths = [member.records for member in self.members.values() if member.records]
         records = [record for path in paths for record in read_records(path)]
         return sorted(records, key=lambda record: record.time)
 
     def publish_address(self, name: str, address: Address) -> Address:
-        """Give the address under which others reach a process."""
+        """Register an address at the proxy, if any, and return the public address."""
         if self._proxy_process is None:
             return address
         target = json.encode({"name": name, "address": address})
@@ -217,7 +219,7 @@
         return Address(HOST, json.decode(body)["port"])
 
     def find_public_address(self, address: Address) -> Address:
-        """Give the public address of a daemon that listens at an address."""
+        """Find the public address of the daemon that listens on an address."""
         for entry in self.entries:
             if entry.address == address:
                 return entry.public
@@ -231,25 +233,25 @@
         records: Path | None = None,
         data_folder: Path | None = None,
     ) -> ManagedProcess:
-        """Add a member that is not started yet."""
+        """Add a process without starting it."""
         public = self.publish_address(name, address)
         member = ManagedProcess(name, address, public, start, records, data_folder)
         self.members[name] = member
         return member
 
     def _choose_address(self) -> Address:
-        """Choose a free address."""
+        """Choose a loopback address with a free port."""
         return Address(HOST, self._ports.choose())
 
     def _launch_fake(self, module: str, options: list[str], name: str) -> Popen:
-        """Start a stand-in and wait until it listens."""
+        """Start a fake and wait until it listens."""
         log = self._folder / f"{name}.log"
         process = launch_module(f"bergamotwood_fakes.{module}", options, log)
         read_start_message(process)
         return process
 
     def _add_proxy(self) -> None:
-        """Start the proxy, through which all others are published."""
+        """Start the proxy, through which all other processes are reached."""
         address = self._choose_address()
         options = ["--listen", str(address)]
         start = lambda: self._launch_fake("proxy", options, "proxy")  # noqa: E731
@@ -258,7 +260,7 @@
         self._proxy_process = proxy
 
     def _add_platform(self) -> None:
-        """Add the rating service and the weight store."""
+        """Add the fake rating service and the fake weight store."""
         for name, extra_options in (
             ("rating", ["--rate", str(self.plan.rating_rate)]),
             ("weights", []),
@@ -274,7 +276,7 @@
             )
 
     def _add_entries(self) -> None:
-        """Add the daemons and write their settings."""
+        """Choose the replicas' addresses and add the daemons."""
         for number in range(self.plan.controls):
             name = name_entry(number + 1)
             self._peers[name] = self._choose_address()
@@ -290,7 +292,7 @@
             self._add_entry(number, replicas)
 
     def _add_entry(self, number: int, replicas: list[dict]) -> None:
-        """Add one daemon."""
+        """Write the settings of one daemon and add it."""
         name = name_entry(number + 1)
         address = self._choose_address()
         peer_address = self._peers.get(name) or self._choose_address()
@@ -325,7 +327,7 @@
         )
 
     def _add_engine(self, plan: EnginePlan) -> None:
-        """Add an engine stand-in."""
+        """Add a fake engine."""
         fencing_option = (
             "--checks-fencing" if plan.checks_fencing else "--no-checks-fencing"
         )
@@ -342,14 +344,14 @@
         self._add_endpoint("engine", plan, options)
 
     def _add_service(self, plan: ServicePlan) -> None:
-        """Add a plain service stand-in."""
+        """Add a fake plain service."""
         options = ["--service", plan.service, "--seconds", str(plan.seconds)]
         self._add_endpoint("service", plan, options)
 
     def _add_endpoint(
         self, module: str, plan: EnginePlan | ServicePlan, options: list[str]
     ) -> None:
-        """Add a stand-in that announces itself."""
+        """Add a fake endpoint that uses the entries in rotated order."""
         name = plan.name
         address = self._choose_address()
         number = len(self.members)
@@ -385,15 +387,15 @@
 
 
 def _encode_address(address: Address) -> dict:
-    """Write an address as settings have it."""
+    """Encode an address for a settings file."""
     return {"host": address.host, "port": address.port}
 
 
 def _repeat_option(option: str, values: tuple[str, ...]) -> list[str]:
-    """Repeat an option for each value."""
+    """Make command-line arguments that repeat an option for each value."""
     return [argument for value in values for argument in (option, value)]
 
 
 def _format_qualities(qualities: dict[str, float]) -> tuple[str, ...]:
-    """Write qualities as an engine's options have them."""
+    """Format qualities as values of an engine's `--quality` option."""
     return tuple(f"{version}={value}" for version, value in qualities.items())
--- a/packages/fakes/src/bergamotwood_fakes/language.py
+++ b/packages/fakes/src/bergamotwood_fakes/language.py
@@ -1,4 +1,4 @@
-"""The scenario language: what a scenario file may say."""
+"""Parsing and validation of scenario files."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 
 class ScenarioError(Exception):
-    """A scenario file that cannot be used."""
+    """A scenario file is invalid."""
 
 
 class Scenario(Struct, forbid_unknown_fields=True):
@@ -20,17 +20,17 @@
     Parameters
     ----------
     name, about : str
-        For the report.
+        Name for the report, and a description.
     fleet : FleetPlan
-        What is started.
+        Fleet to start.
     tickets : dict
-        Tickets by name, without their numbers; `base` is applied first.
+        Tickets by name, without numbers; `base` is submitted before the steps.
     steps : list of Step
-        In order.
+        Steps, executed in order.
     seed : int
-        Of the callers.
+        Seed of the random choices of callers and operator.
     lag : float
-        Seconds in which an accepted ticket must be in force everywhere.
+        Seconds within which all entries must apply an accepted ticket.
     """
 
     name: str
@@ -43,12 +43,12 @@
 
 
 def load_scenario(path: Path) -> Scenario:
-    """Read a scenario file and the fleet that it names.
+    """Read a scenario file and the base file of its fleet.
 
     Raises
     ------
     ScenarioError
-        With the file and the fault.
+        With the file and the error.
     """
     try:
         document = yaml.decode(path.read_bytes())
@@ -64,7 +64,7 @@
 
 
 def _check_names(path: Path, scenario: Scenario) -> None:
-    """Check that steps name processes and tickets that there are."""
+    """Check that the processes and tickets named in steps exist."""
     plan = scenario.fleet
     entries = {name_entry(number + 1) for number in range(plan.entries)}
     endpoints = {endpoint.name for endpoint in (*plan.engines, *plan.services)}
@@ -83,14 +83,14 @@
 
 
 def get_verb(step: Step) -> str:
-    """Name the one verb of a step.
+    """Get the verb of a step, empty when the step only waits.
 
     Raises
     ------
     ScenarioError
-        When it has none or several.
+        When it has several verbs, or neither a verb nor something to wait for.
     """
     given = [name for name in VERBS if getattr(step, name) is not None]
     if len(given) > 1 or (not given and step.at is None and step.when is None):
-        raise ScenarioError(f"a step needs one verb, it has {given}")
+        raise ScenarioError(f"a step must have one verb or a wait, found verbs {given}")
     return given[0] if given else ""
--- a/packages/fakes/src/bergamotwood_fakes/launch.py
+++ b/packages/fakes/src/bergamotwood_fakes/launch.py
@@ -1,4 +1,4 @@
-"""Start of processes that print one JSON line with their port."""
+"""Launching of Python modules as child processes."""
 
 from os import environ
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 class StartMessage(Struct):
-    """The line that a stand-in prints when it listens."""
+    """The JSON line that a fake prints once it listens."""
 
     id: str
     kind: str
@@ -17,16 +17,16 @@
 
 
 def launch_module(module: str, options: list[str], log: Path | None = None) -> Popen:
-    """Start a Python module in a process of its own, its output in a pipe.
+    """Start a Python module in a child process and pipe its standard output.
 
     Parameters
     ----------
     module : str
         Dotted name.
     options : list of str
-        Its command line.
+        Command-line arguments.
     log : Path, optional
-        File that takes its errors.
+        File to which standard error is appended; inherited by default.
     """
     if log is None:
         return Popen(_make_command(module, options), stdout=PIPE, env=_make_environ())
@@ -45,18 +45,18 @@
     log: Path,
     variables: dict[str, str] | None = None,
 ) -> Popen:
-    """Start a Python module whose output and errors go to a file.
+    """Start a Python module in a child process and log all its output to a file.
 
     Parameters
     ----------
     module : str
         Dotted name.
     options : list of str
-        Its command line.
+        Command-line arguments.
     log : Path
-        File that takes its output.
+        File to which standard output and standard error are appended.
     variables : dict, optional
-        Environment variables beside those of this process.
+        Environment variables in addition to those of this process.
     """
     with log.open("ab") as output:
         return Popen(
@@ -68,24 +68,27 @@
 
 
 def read_start_message(process: Popen) -> StartMessage:
-    """Wait for the line that a stand-in prints.
+    """Wait for the start message of a fake.
 
     Raises
     ------
     RuntimeError
-        When the process ended before.
+        When the process exited without printing one.
     """
     line = process.stdout.readline()
     if not line:
-        raise RuntimeError(f"{process.args} ended with {process.wait()}")
+        raise RuntimeError(
+            f"{process.args} exited with status {process.wait()} "
+            "before its start message"
+        )
     return json.decode(line, type=StartMessage)
 
 
 def _make_command(module: str, options: list[str]) -> list[str]:
-    """Make the command line of a module."""
+    """Make the command line that runs a module."""
     return [executable, "-m", module, *options]
 
 
 def _make_environ() -> dict[str, str]:
-    """Make an environment in which a child finds the same packages."""
+    """Make an environment in which a child process finds the same packages."""
     return {**environ, "PYTHONPATH": ":".join(entry for entry in path if entry)}
--- a/packages/fakes/src/bergamotwood_fakes/limit.py
+++ b/packages/fakes/src/bergamotwood_fakes/limit.py
@@ -1,17 +1,17 @@
-"""A rate limit for the platform stand-ins."""
+"""Rate limit of the fake rating service and the fake weight store."""
 
 from bergamotwood_fakes.record import read_clock
 
 
 class RateLimit:
-    """A token bucket.
+    """A token bucket that starts full.
 
     Parameters
     ----------
     rate : float
         Requests per second.
     burst : int
-        Requests that may come at once.
+        Capacity of the bucket, in requests.
     """
 
     def __init__(self, rate: float, burst: int) -> None:
@@ -21,7 +21,7 @@
         self._refilled_at = read_clock()
 
     def take(self) -> float:
-        """Take one request; 0 when it may pass, else the seconds to wait."""
+        """Take a token and return 0, or return the seconds until there is one."""
         now = read_clock()
         refill = (now - self._refilled_at) * self._rate
         self._tokens = min(float(self._burst), self._tokens + refill)
--- a/packages/fakes/src/bergamotwood_fakes/link.py
+++ b/packages/fakes/src/bergamotwood_fakes/link.py
@@ -20,18 +20,18 @@
 
 
 class Link:
-    """A connection from a source process to a target process.
+    """A proxied connection from a source process to a target process.
 
     Parameters
     ----------
     source, target : str
         Names of the processes.
     rules : RuleTable
-        Faults in force.
+        Active rules of the proxy.
     random : Random
-        Of the delays.
+        Random source of the delays.
     downstream, upstream : socket
-        Towards the source and towards the target.
+        Connections to the source and to the target.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
             connection.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
     def run(self) -> None:
-        """Carry bytes both ways until both ends have closed."""
+        """Forward bytes in both directions until both sides have closed."""
         to_target = gevent.spawn(self._forward, self._downstream, self._upstream)
         to_source = gevent.spawn(self._forward, self._upstream, self._downstream)
         gevent.joinall([to_target, to_source])
@@ -63,10 +63,10 @@
         self._upstream.close()
 
     def apply(self, action: Action) -> None:
-        """Carry out what a new rule does to an open connection.
+        """Apply the action of a new rule to this open connection.
 
-        Delays and partitions are asked for block by block, drops concern new
-        connections only.
+        Delays and partitions need nothing here, as they are looked up for each
+        block; drops affect new connections only.
         """
         match action:
             case Action.CUT:
@@ -77,11 +77,11 @@
                 self.make_half_open()
 
     def discard_bytes(self) -> None:
-        """Lose every byte from now on, while both ends stay open."""
+        """Discard all further bytes but keep both sides open."""
         self._discards_bytes = True
 
     def make_half_open(self) -> None:
-        """Close the target's side; the source is told nothing."""
+        """Close the target's side and leave the source's side open and silent."""
         self._half_open = True
         self._discards_bytes = True
         _shut_down(self._upstream)
@@ -94,7 +94,7 @@
         _shut_down(self._upstream)
 
     def _forward(self, source: socket, destination: socket) -> None:
-        """Carry the bytes of one direction, each block after its delay."""
+        """Forward the bytes of one direction, each block after its delay."""
         blocks: deque[tuple[float, bytes]] = deque()
         block_queued = Event()
         free_slots = Semaphore(MAX_QUEUED_BLOCKS)
@@ -117,7 +117,7 @@
         free_slots: Semaphore,
         destination: socket,
     ) -> None:
-        """Write blocks when they are due; an empty one closes that way."""
+        """Write each block when it is due; an empty block closes this direction."""
         while True:
             block_queued.wait()
             due_at, data = blocks.popleft()
@@ -131,7 +131,7 @@
                 return
 
     def _write_block(self, data: bytes, destination: socket) -> None:
-        """Give a block to the other side, unless it is to be lost."""
+        """Send a block to the other side unless bytes are being discarded."""
         if self._discards_bytes:
             return
         try:
@@ -143,7 +143,7 @@
             self.cut()
 
     def _wait_while_partitioned(self) -> None:
-        """Wait while a partition holds this connection back."""
+        """Wait while a partition rule matches this connection."""
         while self._rules.find(Action.PARTITION, self.source, self.target):
             self._rules.wait_for_removal()
 
@@ -154,7 +154,7 @@
 
 
 def connect_to_target(address: Address, timeout_seconds: float) -> socket | None:
-    """Dial a target, None when it does not answer within some seconds."""
+    """Connect to a target; return None on failure or timeout."""
     try:
         connection = create_connection((address.host, address.port), timeout_seconds)
     except OSError:
@@ -164,7 +164,7 @@
 
 
 def _receive(source: socket) -> bytes:
-    """Receive a block; empty when the end has closed."""
+    """Receive a block, which is empty when the peer closed the connection."""
     try:
         return source.recv(BLOCK_BYTES)
     except OSError:
--- a/packages/fakes/src/bergamotwood_fakes/loader.py
+++ b/packages/fakes/src/bergamotwood_fakes/loader.py
@@ -1,4 +1,4 @@
-"""Loading of versions by an engine stand-in, on orders that carry a fencing token."""
+"""Loading of versions by the fake engine, with checks of fencing tokens."""
 
 from gevent import sleep
 from geventhttpclient import HTTPClient
@@ -13,7 +13,10 @@
 
 
 class Order(Struct):
-    """An order to an engine; `term` and `index` are its fencing token."""
+    """An order to load or unload a version, with its fencing token.
+
+    The fencing token is the pair of `term` and `index`.
+    """
 
     order: str
     version: str
@@ -22,16 +25,16 @@
 
 
 class Loader:
-    """Versions that an engine has loaded.
+    """Keeps the versions that an engine has loaded.
 
     Parameters
     ----------
     versions : tuple of str
-        Loaded at the start.
+        Versions loaded at the start.
     weights : Address or None
-        The weight store; without one a version is there at once.
+        The weight store; without one versions load instantly.
     checks_fencing : bool
-        Whether orders with an old fencing token are refused.
+        Whether orders with an outdated fencing token are refused.
     """
 
     def __init__(
@@ -46,11 +49,11 @@
         self._newest_token = (0, 0)
 
     def execute(self, order: Order) -> Response:
-        """Carry out an order, or refuse it."""
+        """Execute an order, or refuse it when its fencing token is outdated."""
         token = (order.term, order.index)
         if self._checks_fencing and token < self._newest_token:
             return make_error_response(
-                409, f"fencing token {token} is older than newest"
+                409, f"fencing token {token} is older than {self._newest_token}"
             )
         self._newest_token = max(self._newest_token, token)
         match order.order:
@@ -63,16 +66,16 @@
                 return make_error_response(400, f"unknown order {order.order}")
 
     def _load(self, version: str) -> Response:
-        """Fetch a version's weights unless they are there."""
+        """Load a version unless it is already loaded."""
         if version in self.versions:
             return make_json_response({"versions": list(self.versions)})
         if self._weights is not None and not self._fetch(self._weights, version):
-            return make_error_response(500, f"weight store did not give {version}")
+            return make_error_response(500, f"could not fetch the weights of {version}")
         self.versions[version] = None
         return make_json_response({"versions": list(self.versions)})
 
     def _fetch(self, store: Address, version: str) -> bool:
-        """Fetch weights, waiting when the store is at its limit."""
+        """Fetch weights, retrying while the store's rate limit is exceeded."""
         client = HTTPClient(store.host, store.port, network_timeout=TIMEOUT_SECONDS)
         try:
             for _ in range(MAX_FETCH_ATTEMPTS):
--- a/packages/fakes/src/bergamotwood_fakes/managed_process.py
+++ b/packages/fakes/src/bergamotwood_fakes/managed_process.py
@@ -1,4 +1,4 @@
-"""One process of a local fleet."""
+"""Control of one process of a local fleet."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -14,26 +14,26 @@
 
 
 class ManagedProcess(Struct):
-    """A process that can be started, stopped and hurt by its name.
+    """A process of a fleet that can be started, paused, resumed and stopped.
 
     Parameters
     ----------
     name : str
-        In the fleet.
+        Name in the fleet.
     address : Address
-        Where it listens.
+        Address on which it listens.
     public : Address
-        Where others reach it, which may lead through the proxy.
+        Address at which other processes reach it, possibly through the proxy.
     start : callable
-        Starts its process.
+        Starts the process.
     records : Path or None
-        Records of its runs.
+        File with the records of its runs, for an endpoint.
     data_folder : Path or None
-        Its disk.
+        Folder of its stored data, for a control replica.
     process : Popen or None
-        The process that runs now.
+        The child process that was started last.
     left_at : list of float
-        When it was told to stop, each time.
+        Times of its graceful shutdowns, in seconds since boot.
     """
 
     name: str
@@ -47,32 +47,32 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def launch(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process unless it is running."""
         if not self.running:
             self.process = self.start()
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has exited."""
         if self.running:
             self.process.send_signal(SIGKILL)
             self.process.wait()
 
     def terminate(self) -> None:
-        """Send the process the signal of a graceful shutdown."""
+        """Send SIGTERM, which starts a graceful shutdown."""
         self.left_at.append(read_clock())
         self.process.send_signal(SIGTERM)
 
     def wait(self, seconds: float = STOP_TIMEOUT_SECONDS) -> int | None:
-        """Wait for the end of the process.
+        """Wait until the process exits.
 
         Returns
         -------
         int or None
-            Its exit code, None when it has not ended in time.
+            Its exit code, None when it did not exit in time.
         """
         try:
             return self.process.wait(timeout=seconds)
@@ -80,9 +80,9 @@
             return None
 
     def pause(self) -> None:
-        """Stop the process where it stands."""
+        """Suspend the process with SIGSTOP."""
         self.process.send_signal(SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume the paused process with SIGCONT."""
         self.process.send_signal(SIGCONT)
--- a/packages/fakes/src/bergamotwood_fakes/operator.py
+++ b/packages/fakes/src/bergamotwood_fakes/operator.py
@@ -1,4 +1,4 @@
-"""An operator of a scenario: submits tickets and keeps what came of them."""
+"""Submission of tickets to a fleet."""
 
 from random import Random
 
@@ -18,14 +18,14 @@
 
 
 class Operator:
-    """Submits tickets to a fleet, again when an answer is lost.
+    """Submits tickets to a fleet and retries when no answer is received.
 
     Parameters
     ----------
     fleet : Fleet
-        Where to submit.
+        Fleet that receives the tickets.
     random : Random
-        Of the choice among entries.
+        Random source for the choice of entries.
     """
 
     def __init__(self, fleet: Fleet, random: Random) -> None:
@@ -36,23 +36,23 @@
 
     @property
     def newest_accepted(self) -> int:
-        """Number of the newest accepted ticket."""
+        """Number of the latest accepted ticket, 0 without one."""
         return max(
             (ticket.number for ticket in self.tickets if ticket.accepted), default=0
         )
 
     def allocate_number(self) -> int:
-        """Take the next number of a ticket."""
+        """Allocate the next ticket number."""
         self._number += 1
         return self._number
 
     def submit(self, number: int, content: dict, entry: str = "") -> TicketSubmission:
-        """Submit a ticket until it is accepted or refused.
+        """Submit a ticket, with retries, until it is accepted or refused.
 
         Raises
         ------
         FleetError
-            When no answer came of any attempt.
+            When the ticket is invalid, or was neither accepted nor refused in time.
         """
         ticket = TicketSubmission(number, {"number": number, **content}, read_clock())
         self.tickets.append(ticket)
@@ -65,12 +65,15 @@
                 ticket.answered = read_clock()
                 return ticket
             if status == 400:
-                raise FleetError(f"ticket {number}: {answer.decode()[:400]}")
+                raise FleetError(f"ticket {number} is invalid: {answer.decode()[:400]}")
             gevent.sleep(RETRY_SECONDS)
-        raise FleetError(f"ticket {number}: no answer, last status {status}")
+        raise FleetError(
+            f"ticket {number}: neither accepted nor refused within "
+            f"{RETRY_TIMEOUT_SECONDS} s, last status {status}"
+        )
 
     def submit_concurrently(self, content: dict, rival: dict) -> list[TicketSubmission]:
-        """Submit two tickets with one number at once."""
+        """Submit two tickets with the same number concurrently."""
         number = self.allocate_number()
         submissions = [
             gevent.spawn(self.submit, number, each) for each in (content, rival)
@@ -79,15 +82,15 @@
         return [greenlet.value for greenlet in submissions]
 
     def is_kept(self, number: int) -> bool:
-        """Whether any entry still knows a ticket."""
+        """Whether a ticket is still stored."""
         return self._get(f"/v1/tickets/{number}") is not None
 
     def read_bills(self) -> list[dict] | None:
-        """Read the ledger, None when no entry gives it."""
+        """Read the bills of the ledger, None when no entry returns them."""
         return self._get(f"/v1/bills?limit={MAX_BILLS}")
 
     def _get(self, path: str) -> object | None:
-        """Read a path of any entry that gives it."""
+        """Get a path from any entry, with retries; None on 404 or timeout."""
         deadline = read_clock() + RETRY_TIMEOUT_SECONDS
         while read_clock() < deadline:
             status, body = send_http_request(
@@ -101,11 +104,11 @@
         return None
 
     def _post(self, address: Address, body: bytes) -> tuple[int, bytes]:
-        """Post a ticket once."""
+        """Post a ticket once and return the status and the body."""
         return send_http_request(address, "POST", "/v1/tickets", body, OPERATOR_KEY)
 
     def _choose_address(self, entry: str) -> Address:
-        """Choose where to submit."""
+        """Choose the address of an entry, by name or among the running ones."""
         if entry:
             return self._fleet.members[entry].public
         running = [
--- a/packages/fakes/src/bergamotwood_fakes/plan.py
+++ b/packages/fakes/src/bergamotwood_fakes/plan.py
@@ -1,4 +1,4 @@
-"""What a local fleet is made of."""
+"""Plans of local fleets."""
 
 from msgspec import Struct, field
 
@@ -6,7 +6,7 @@
 
 
 class EnginePlan(Struct, forbid_unknown_fields=True):
-    """A model engine stand-in; see the options of `bergamotwood_fakes.engine`."""
+    """A fake model engine; see the options of `bergamotwood_fakes.engine`."""
 
     name: str
     versions: tuple[str, ...]
@@ -19,7 +19,7 @@
 
 
 class ServicePlan(Struct, forbid_unknown_fields=True):
-    """A plain service stand-in; see the options of `bergamotwood_fakes.service`."""
+    """A fake plain service; see the options of `bergamotwood_fakes.service`."""
 
     name: str
     service: str
@@ -29,24 +29,25 @@
 
 
 class FleetPlan(Struct, forbid_unknown_fields=True):
-    """A fleet of daemons and stand-ins on loopback.
+    """A fleet of daemons and fakes on loopback.
 
     Parameters
     ----------
     entries, controls : int
-        Daemons, and how many of them, the first ones, are control replicas.
+        Number of daemons, and how many of them, from the first, are control
+        replicas.
     data_centres : tuple of str
-        Taken in turn.
+        Data centres, assigned round-robin.
     engines, services : tuple
-        Stand-ins that announce themselves.
+        Fake endpoints.
     qualities : dict of str to float
-        Mean quality of versions.
+        Mean quality by version.
     proxy : bool
         Whether all connections go through the fault-injecting proxy.
     rating_rate : float
-        Ratings a second that the rating service allows.
+        Rate limit of the rating service, in ratings per second.
     settings : dict
-        Further settings of the daemons.
+        Additional settings of the daemons.
     """
 
     entries: int = 3
@@ -61,5 +62,5 @@
 
 
 def name_entry(number: int) -> str:
-    """Name of an entry instance, counted from 1."""
+    """Name an entry by its number, counted from 1."""
     return f"entry-{number}"
--- a/packages/fakes/src/bergamotwood_fakes/port.py
+++ b/packages/fakes/src/bergamotwood_fakes/port.py
@@ -1,17 +1,17 @@
-"""Choice of free loopback ports."""
+"""Allocation of free loopback ports."""
 
 from os import getpid
 from random import Random
 from socket import AF_INET, SOCK_STREAM, socket
 
 HOST = "127.0.0.1"
-# Below the range from which the machine takes ports for outgoing connections.
+# Below the range of ephemeral ports, which outgoing connections use.
 LOWEST_PORT = 12_000
 HIGHEST_PORT = 31_000
 
 
 class PortChooser:
-    """Chooses ports that are free now and were not chosen before."""
+    """Chooses ports that are free and that it has not returned before."""
 
     def __init__(self) -> None:
         self._random = Random(getpid())
@@ -27,7 +27,7 @@
 
 
 def _is_free(port: int) -> bool:
-    """Whether a port can be listened on."""
+    """Whether a port can be bound."""
     with socket(AF_INET, SOCK_STREAM) as probe:
         try:
             probe.bind((HOST, port))
--- a/packages/fakes/src/bergamotwood_fakes/process.py
+++ b/packages/fakes/src/bergamotwood_fakes/process.py
@@ -1,4 +1,4 @@
-"""Life of a stand-in process: start, announce, stop on a signal."""
+"""Lifecycle of a fake's process: start, announce, stop on a signal."""
 
 from signal import SIGINT, SIGTERM
 from sys import stdout
@@ -16,7 +16,7 @@
 
 
 def print_start_message(identity: str, kind: str, port: int) -> None:
-    """Print the one line that tells the starter which port was taken."""
+    """Print the JSON line that tells the parent process the port."""
     line = json.encode({"id": identity, "kind": kind, "port": port})
     stdout.write(line.decode() + "\n")
     stdout.flush()
@@ -31,7 +31,7 @@
 
 
 def run_until_stopped(server: WSGIServer, identity: str, kind: str) -> None:
-    """Run a stand-in that announces nothing until it is told to stop."""
+    """Run a fake that is no endpoint until SIGTERM or SIGINT."""
     server.start()
     print_start_message(identity, kind, server.server_port)
     wait_for_stop()
@@ -46,20 +46,23 @@
     recorder: Recorder,
     leave_seconds: float,
 ) -> None:
-    """Run an endpoint; on a signal it leaves, finishes its work and ends.
+    """Run a fake endpoint until SIGTERM or SIGINT, then shut it down gracefully.
+
+    On shutdown it announces that it leaves, serves new requests for
+    `leave_seconds`, and exits when all runs have ended.
 
     Parameters
     ----------
     server : WSGIServer
-        Its server, listening.
+        Its listening server.
     announcer : Announcer
-        Speaks for it.
+        Announces it to the entries.
     identity, kind : str
-        Printed with the port.
+        Printed in the start message.
     recorder : Recorder
-        Knows the runs that are not over.
+        Counts the runs in progress.
     leave_seconds : float
-        How long it goes on to serve after it said that it leaves.
+        Time for which it keeps serving after it announced that it leaves.
     """
     server.start()
     print_start_message(identity, kind, server.server_port)
--- a/packages/fakes/src/bergamotwood_fakes/proxy.py
+++ b/packages/fakes/src/bergamotwood_fakes/proxy.py
@@ -26,30 +26,31 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 2.0
+# Source name of connections from processes that are not registered.
 UNKNOWN_SOURCE = "caller"
 
 
 class Target(Struct):
-    """A process to be reached through the proxy."""
+    """A process that is reachable through the proxy."""
 
     name: str
     address: Address
 
 
 class Process(Struct):
-    """A process whose connections are told apart."""
+    """A process that rules can name as the source of connections."""
 
     name: str
     pid: int
 
 
 class Proxy:
-    """Listens for each target and carries its connections under the rules.
+    """Listens on one port per target and applies the rules to its connections.
 
     Parameters
     ----------
     seed : int
-        Of delays and drops.
+        Seed of delays and drops.
     """
 
     def __init__(self, seed: int) -> None:
@@ -62,14 +63,14 @@
     def handle_request(
         self, environ: Environ, start_response: StartResponse
     ) -> list[bytes]:
-        """Answer one request of the control interface (a WSGI application)."""
+        """Handle one request to the control interface (a WSGI application)."""
         try:
             return self._handle_control_request(environ).send(start_response)
         except (DecodeError, ValidationError) as error:
             return make_error_response(400, str(error)).send(start_response)
 
     def _handle_control_request(self, environ: Environ) -> Response:
-        """Carry out one request of the control interface."""
+        """Execute one request to the control interface."""
         body = read_body(environ)
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/targets":
@@ -97,7 +98,7 @@
                 return make_error_response(404, "no such path")
 
     def _listen(self, target: Target) -> int:
-        """Open a port that leads to a target."""
+        """Open a port whose connections are forwarded to a target."""
 
         def handle(downstream: socket, peer_address: tuple[str, int]) -> None:
             self._forward_connection(
@@ -113,7 +114,7 @@
     def _forward_connection(
         self, downstream: socket, source_port: int, proxy_port: int, target: Target
     ) -> None:
-        """Carry a new connection until it ends."""
+        """Forward a new connection until it ends."""
         source = (
             find_connection_owner(self._processes, source_port, proxy_port)
             or UNKNOWN_SOURCE
@@ -138,14 +139,14 @@
             self._links.discard(link)
 
     def _refuses_connection(self, source: str, target: str) -> bool:
-        """Whether a rule refuses a new connection."""
+        """Whether a cut or drop rule refuses a new connection."""
         if self._rules.find(Action.CUT, source, target):
             return True
         drop = self._rules.find(Action.DROP, source, target)
         return drop is not None and self._random.random() < drop.share
 
     def _add_rule(self, rule: Rule) -> int:
-        """Put a rule in force, also for the connections that are open."""
+        """Apply a rule to open connections, add it and return its number."""
         for link in list(self._links):
             if rule.matches(link.source, link.target):
                 link.apply(rule.action)
--- a/packages/fakes/src/bergamotwood_fakes/rating.py
+++ b/packages/fakes/src/bergamotwood_fakes/rating.py
@@ -1,4 +1,4 @@
-"""Stand-in of the rating service: `python -m bergamotwood_fakes.rating`."""
+"""Fake rating service: `python -m bergamotwood_fakes.rating`."""
 
 from random import Random
 
@@ -23,7 +23,7 @@
 
 
 class RatingRequest(Struct):
-    """An answer to be rated."""
+    """A request to rate an answer."""
 
     request: str
     workspace: str
@@ -33,18 +33,18 @@
 
 
 class RatingService:
-    """Rates answers by the quality that they carry, with some noise.
+    """Rates answers by the quality stated in their text, plus random noise.
 
     Parameters
     ----------
     limit : RateLimit
-        Ratings a second.
+        Limit on ratings.
     seconds : float
-        Time of one rating.
+        Duration of one rating.
     noise : float
         Standard deviation of the score.
     seed : int
-        Of the noise.
+        Seed of the noise.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
     def handle_request(
         self, environ: Environ, start_response: StartResponse
     ) -> list[bytes]:
-        """Answer one HTTP request (a WSGI application)."""
+        """Handle one HTTP request (a WSGI application)."""
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/v1/ratings":
                 return self._rate(environ).send(start_response)
@@ -73,7 +73,9 @@
             return make_error_response(400, str(error))
         wait = self._limit.take()
         if wait:
-            return make_error_response(429, "limit of ratings", retry_after=wait)
+            return make_error_response(
+                429, "rating rate limit exceeded", retry_after=wait
+            )
         sleep(self._seconds)
         quality = read_quality(request.answer) or 0.0
         score = quality + self._random.gauss(0.0, self._noise)
@@ -82,7 +84,9 @@
 
 @command()
 @LISTEN
-@option("--rate", type=float, default=20.0, show_default=True, help="A second.")
+@option(
+    "--rate", type=float, default=20.0, show_default=True, help="Ratings per second."
+)
 @option("--burst", type=int, default=20, show_default=True)
 @option("--seconds", type=float, default=0.02, show_default=True)
 @option("--noise", type=float, default=0.05, show_default=True)
@@ -90,7 +94,7 @@
 def main(
     listen: Address, rate: float, burst: int, seconds: float, noise: float, seed: int
 ) -> None:
-    """Run a rating service stand-in until SIGTERM."""
+    """Run a fake rating service until SIGTERM."""
     rating_service = RatingService(RateLimit(rate, burst), seconds, noise, seed)
     run_until_stopped(
         make_server(listen, rating_service.handle_request), "rating", "rating"
--- a/packages/fakes/src/bergamotwood_fakes/record.py
+++ b/packages/fakes/src/bergamotwood_fakes/record.py
@@ -1,4 +1,4 @@
-"""Records that stand-ins keep of what they ran, one JSON object a line."""
+"""Records of the runs of fake endpoints, one JSON object per line."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class Event(StrEnum):
-    """What a record tells."""
+    """Which end of a run a record marks."""
 
     START = "start"
     END = "end"
@@ -22,11 +22,11 @@
     Parameters
     ----------
     event : Event
-        Start or end.
+        Whether the run starts or ends.
     time : float
-        Seconds on the machine's clock since boot, common to all processes.
+        Seconds since boot, comparable between processes of the machine.
     endpoint, incarnation : str, int
-        Who ran it.
+        The endpoint that ran it.
     run : int
         Number of the run within the incarnation.
     request, key : str
@@ -34,17 +34,18 @@
     version : str
         Model version, or the name of the service.
     method, path : str
-        Of the HTTP request.
+        Request line of the HTTP request.
     fingerprint : str
         Digest of the body.
     mark : str
-        The caller's mark in the body or path.
+        Identifier that the caller put into the body or path.
     tokens : int
-        Tokens sent, at the end of a run.
+        Events sent, in a record of an end; 1 for an answer of a plain service.
     finished, cancelled : bool
-        Whether the whole answer was sent, or its connection closed before.
+        In a record of an end, whether the complete answer was sent, or the run
+        stopped before.
     leaving : bool
-        Whether the endpoint had announced that it leaves.
+        Whether the endpoint was shutting down when the run started.
     """
 
     event: Event
@@ -66,17 +67,17 @@
 
 
 def read_clock() -> Seconds:
-    """Read the clock that counts while the machine sleeps."""
+    """Read the boot-time clock, which also advances during suspend."""
     return Seconds(clock_gettime(CLOCK_BOOTTIME))
 
 
 class RecordFile:
-    """Appends records to a file, each flushed at once.
+    """Appends records to a file and flushes each one immediately.
 
     Parameters
     ----------
     path : Path or None
-        The file; None keeps nothing.
+        The file; None discards the records.
     """
 
     def __init__(self, path: Path | None) -> None:
@@ -91,7 +92,7 @@
 
 
 def read_records(path: Path) -> list[Record]:
-    """Read the records of a file, but for a torn last line."""
+    """Read the records of a file and skip a truncated last line."""
     if not path.exists():
         return []
     records = []
@@ -104,7 +105,7 @@
 
 
 def find_unfinished(records: list[Record]) -> list[Record]:
-    """Find runs of the last incarnation that began and have no end."""
+    """Find the runs of the latest incarnation that started but did not end."""
     if not records:
         return []
     last = max(record.incarnation for record in records)
--- a/packages/fakes/src/bergamotwood_fakes/recorder.py
+++ b/packages/fakes/src/bergamotwood_fakes/recorder.py
@@ -1,4 +1,4 @@
-"""Recorder of the runs of one endpoint."""
+"""Recording of the runs of one endpoint."""
 
 from hashlib import sha256
 from itertools import count
@@ -16,7 +16,7 @@
 
 
 class Identity(Struct, frozen=True):
-    """Which endpoint, and which start of it."""
+    """Identity of an endpoint and of its current incarnation."""
 
     id: EndpointId
     incarnation: Incarnation
@@ -28,9 +28,9 @@
     Parameters
     ----------
     identity : Identity
-        Whose runs.
+        The endpoint.
     path : Path or None
-        File of the records.
+        File for the records; None discards them.
     """
 
     def __init__(self, identity: Identity, path: Path | None) -> None:
@@ -41,7 +41,7 @@
         self.leaving = False
 
     def start(self, environ: Environ, body: bytes, version: str) -> Record:
-        """Record that a request starts to run."""
+        """Record the start of a run."""
         record = Record(
             event=Event.START,
             time=read_clock(),
@@ -62,7 +62,7 @@
         return record
 
     def end(self, started: Record, tokens: int, finished: bool) -> None:
-        """Record that a run is over; an unfinished one was cancelled."""
+        """Record the end of a run; an unfinished run counts as cancelled."""
         record = replace(
             started,
             event=Event.END,
@@ -76,6 +76,6 @@
 
 
 def find_mark(text: bytes) -> str:
-    """Find the mark of the caller's request, empty when there is none."""
+    """Find the mark that identifies the caller's request, empty without one."""
     match = MARK_PATTERN.search(text)
     return match.group(1).decode() if match else ""
--- a/packages/fakes/src/bergamotwood_fakes/report.py
+++ b/packages/fakes/src/bergamotwood_fakes/report.py
@@ -1,4 +1,4 @@
-"""Report of scenarios: a table and JSON."""
+"""Reports of scenario runs, as a table and as JSON."""
 
 from collections import Counter
 from pathlib import Path
@@ -19,24 +19,24 @@
 
 
 class Result(Struct):
-    """What a scenario showed.
+    """The result of a scenario run.
 
     Parameters
     ----------
     name : str
-        The scenario.
+        Name of the scenario.
     sent, answered, refused, unknown : int
-        Requests, by their ends.
+        Number of requests in total and by outcome.
     longest_gap : float
-        Seconds without an answer while requests waited.
+        Longest time without an answer while requests were waiting, in seconds.
     back_to_normal : float
-        Seconds from the first fault to the last try that failed.
+        Seconds from the first fault to the last failed attempt.
     violations : list of Violation
-        Promises that did not hold.
+        Violated promises.
     unmet : list of str
-        Expectations that did not hold.
+        Expectations that were not met.
     troubles : list of str
-        Kinds of failed tries and their numbers.
+        The most frequent kinds of failed attempts, with their numbers.
     """
 
     name: str
@@ -52,25 +52,26 @@
 
     @property
     def passed(self) -> bool:
-        """Whether everything held."""
+        """Whether there are neither violations nor unmet expectations."""
         return not self.violations and not self.unmet
 
 
 def make_result(
     name: str, evidence: Evidence, runners: list[Runner], judge_expectations: bool
 ) -> Result:
-    """Judge the evidence of a scenario.
+    """Check the evidence of a scenario run.
 
     Parameters
     ----------
     name : str
-        For the report.
+        Name for the report.
     evidence : Evidence
-        What was left behind.
+        Evidence of the run.
     runners : list of Runner
-        Who ran it.
+        Runners of the scenarios.
     judge_expectations : bool
-        Whether expectations count; they need not hold of scenarios in pairs.
+        Whether to report unmet expectations; scenarios that run in pairs may miss
+        theirs.
     """
     transcripts = evidence.transcripts
     faults = [
@@ -93,7 +94,7 @@
 
 
 def _count_troubles(transcripts: list[Transcript]) -> list[str]:
-    """Count the failed tries by outcome, code and run."""
+    """Count the most frequent kinds of failed attempts."""
     kinds = Counter(
         f"{attempt.outcome} {attempt.status} code {attempt.code} "
         f"{attempt.run or ''} {attempt.detail[:60]}"
@@ -105,7 +106,7 @@
 
 
 def _measure_recovery(transcripts: list[Transcript], fault: float) -> float:
-    """Measure the time from a fault to the last try that failed after it."""
+    """Measure the seconds from a fault to the last failed attempt after it."""
     ends = [
         attempt.ended
         for transcript in transcripts
@@ -116,7 +117,7 @@
 
 
 def format_result(result: Result) -> str:
-    """Format a result as a line of the table, with what went wrong below."""
+    """Format a result as a table row, followed by the failures."""
     line = (
         f"{result.name[:39]:<40}{result.sent:>6}{result.answered:>6}"
         f"{result.refused:>6}{result.unknown:>6}{len(result.violations):>6}"
--- a/packages/fakes/src/bergamotwood_fakes/request.py
+++ b/packages/fakes/src/bergamotwood_fakes/request.py
@@ -1,4 +1,4 @@
-"""Making of callers' requests."""
+"""Construction of the requests of callers."""
 
 from msgspec import json
 
@@ -17,7 +17,7 @@
     key: str = "",
     session: str = "",
 ) -> Request:
-    """Make a chat request whose prompt carries its mark."""
+    """Make a chat request whose prompt contains its mark."""
     messages = [{"role": "user", "content": f"{text} {MARK_PREFIX}{mark}"}]
     document = {"model": model, "messages": messages, "stream": stream}
     if max_tokens is not None:
@@ -36,7 +36,7 @@
 
 
 def make_payment(mark: str, workspace: str, service: str, path: str) -> Request:
-    """Make a request that must not run twice, with a key of its own."""
+    """Make a request that must not run twice, with its own idempotency key."""
     body = json.encode({"amount": 450, "reference": f"{MARK_PREFIX}{mark}"})
     return Request(
         mark=mark,
--- a/packages/fakes/src/bergamotwood_fakes/rule.py
+++ b/packages/fakes/src/bergamotwood_fakes/rule.py
@@ -1,4 +1,4 @@
-"""Rules of the fault-injecting proxy, kept in one table."""
+"""Rules of the fault-injecting proxy."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class Action(StrEnum):
-    """What a rule does to the connections that it names."""
+    """What a rule does to the connections that it matches."""
 
     DELAY = "delay"
     DROP = "drop"
@@ -20,24 +20,26 @@
 
 
 class Rule(Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault between named processes.
+    """A fault on the connections between named processes.
 
     Parameters
     ----------
     action : Action
-        `delay` adds time to each one-way trip; `drop` closes a share of new
-        connections; `cut` closes the open ones and refuses new ones; `silence`
-        loses every byte of connections that stay open; `half_open` closes the
-        target's side and leaves the source's side open and silent; `partition`
-        holds all bytes back, both ways, until the rule is lifted.
+        `delay` adds latency in each direction; `drop` closes a fraction of new
+        connections; `cut` closes open connections and refuses new ones; `silence`
+        discards all bytes of open connections without closing them; `half_open`
+        closes the target's side and leaves the source's side open and silent;
+        `partition` holds back all bytes in both directions until the rule is
+        removed.
     sources, targets : tuple of str
-        Names of processes; `*` is any. A partition works in both directions.
+        Names of processes; `*` matches any process. A partition also matches
+        connections in the opposite direction.
     seconds : float
-        Added delay.
+        Added one-way delay in seconds.
     share : float
-        Share of new connections that are dropped.
+        Fraction of new connections that are dropped.
     new_too : bool
-        Whether a silence takes connections opened after it as well.
+        Whether a silence also affects connections opened after the rule was added.
     """
 
     action: Action
@@ -48,7 +50,7 @@
     new_too: bool = False
 
     def matches(self, source: str, target: str) -> bool:
-        """Whether the rule names a connection from `source` to `target`."""
+        """Whether the rule applies to a connection from `source` to `target`."""
         if _matches_name(source, self.sources) and _matches_name(target, self.targets):
             return True
         if self.action is not Action.PARTITION:
@@ -59,12 +61,12 @@
 
 
 def _matches_name(name: str, names: tuple[str, ...]) -> bool:
-    """Whether a name is among the names of a rule."""
+    """Whether a name is listed in a rule or the rule matches any name."""
     return name in names or ANY_PROCESS in names
 
 
 class RuleTable:
-    """Rules in force, by number."""
+    """The active rules, by number."""
 
     def __init__(self) -> None:
         self._rules: dict[int, Rule] = {}
@@ -72,25 +74,25 @@
         self._removed = Event()
 
     def add(self, rule: Rule) -> int:
-        """Put a rule in force and return its number."""
+        """Add a rule and return its number."""
         number = self._next_number
         self._next_number += 1
         self._rules[number] = rule
         return number
 
     def clear(self) -> None:
-        """Lift all rules."""
+        """Remove all rules."""
         self._rules.clear()
         self._notify_removal()
 
     def remove(self, number: int) -> bool:
-        """Lift one rule; False when there is none of that number."""
+        """Remove one rule and return whether it existed."""
         removed = self._rules.pop(number, None) is not None
         self._notify_removal()
         return removed
 
     def wait_for_removal(self) -> None:
-        """Wait until some rule is lifted."""
+        """Wait until a rule is removed."""
         self._removed.wait()
 
     def _notify_removal(self) -> None:
@@ -98,14 +100,14 @@
         self._removed.clear()
 
     def find(self, action: Action, source: str, target: str) -> Rule | None:
-        """Find a rule of one action that names a connection."""
+        """Find the first rule with an action that matches a connection."""
         for rule in self._rules.values():
             if rule.action is action and rule.matches(source, target):
                 return rule
         return None
 
     def sum_delay(self, source: str, target: str) -> float:
-        """Sum the delays in seconds that are added to a connection."""
+        """Sum the one-way delays that rules add to a connection, in seconds."""
         return sum(
             rule.seconds
             for rule in self._rules.values()
--- a/packages/fakes/src/bergamotwood_fakes/runner.py
+++ b/packages/fakes/src/bergamotwood_fakes/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario on a fleet and gathers its evidence."""
+"""Execution of scenarios on a fleet and collection of their evidence."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -47,18 +47,18 @@
 
 
 class Runner:
-    """Carries out the steps of a scenario.
+    """Executes the steps of a scenario.
 
     Parameters
     ----------
     scenario : Scenario
-        What to do.
+        Scenario to execute.
     fleet : Fleet
-        On which, started.
+        The started fleet.
     operator : Operator
-        Submits its tickets.
+        Submits the tickets.
     sampler : Sampler
-        Knows what entries have in force.
+        Samples the entries' configurations.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
 
     @property
     def transcripts(self) -> list[Transcript]:
-        """Everything that was sent."""
+        """The transcripts of all streams."""
         return [
             transcript
             for sender in self._senders.values()
@@ -86,7 +86,7 @@
         ]
 
     def run(self) -> None:
-        """Carry out all steps, then let everything come to its end."""
+        """Execute all steps, then wait for unfinished requests and shutdowns."""
         self._started_at = read_clock()
         for number, step in enumerate(self._scenario.steps, 1):
             try:
@@ -97,16 +97,18 @@
         self._finish()
 
     def _finish(self) -> None:
-        """Lift the faults of the network and wait for callers and stops."""
+        """Remove the proxy's rules and wait for unfinished requests and shutdowns."""
         if self._fleet.plan.proxy:
             self._fleet.clear_rules()
         for name, sender in self._senders.items():
             if not sender.wait(SEND_TIMEOUT_SECONDS):
-                self.unmet.append(f"requests of {name} have no end")
+                self.unmet.append(
+                    f"requests of {name} did not finish within {SEND_TIMEOUT_SECONDS} s"
+                )
         gevent.joinall(self._stop_tasks, STOP_TIMEOUT_SECONDS)
 
     def _wait_for(self, step: Step) -> None:
-        """Wait for the time and the condition of a step."""
+        """Wait for the time and for the condition of a step."""
         if step.at is not None:
             gevent.sleep(max(0.0, self._started_at + step.at - read_clock()))
         if step.when is not None:
@@ -116,7 +118,7 @@
             )
 
     def is_met(self, condition: Condition) -> bool:
-        """Whether a condition holds now."""
+        """Whether a condition is met now."""
         return all(
             predicate(condition) for predicate in self._list_predicates(condition)
         )
@@ -124,7 +126,7 @@
     def _list_predicates(
         self, condition: Condition
     ) -> list[Callable[[Condition], bool]]:
-        """List the tests that the given fields of a condition ask for."""
+        """List one predicate for each given field of a condition."""
         predicates = []
         if condition.answered is not None:
             predicates.append(lambda c: self._count_answered(c.of) >= c.answered)
@@ -147,7 +149,7 @@
         return predicates
 
     def _find_transcripts(self, name: str) -> list[Transcript]:
-        """Find the transcripts of a stream, or of all."""
+        """Find the transcripts of one stream, or of all streams."""
         return self._senders[name].transcripts if name else self.transcripts
 
     def _count_answered(self, name: str) -> int:
@@ -157,18 +159,18 @@
         )
 
     def _count_tried(self, name: str) -> int:
-        """Count requests that were begun."""
+        """Count begun requests."""
         return len(self._find_transcripts(name))
 
     def _count_runs(self, open_only: bool) -> int:
-        """Count runs that were begun, or of these the ones not ended."""
+        """Count the started runs, or only those still in progress."""
         records = self._fleet.read_records()
         starts = sum(record.event is Event.START for record in records)
         ends = len(records) - starts
         return starts - ends if open_only else starts
 
     def _is_effective(self) -> bool:
-        """Whether all running entries have the newest ticket in force."""
+        """Whether all running entries apply the latest accepted ticket."""
         for entry in self._fleet.entries:
             if not entry.running:
                 continue
@@ -178,7 +180,7 @@
         return True
 
     def _is_repaired(self) -> bool:
-        """Whether all running control replicas count for majorities."""
+        """Whether all running control replicas take part in voting."""
         running = [entry for entry in self._fleet.entries if entry.running]
         statuses = [self._fleet.read_status(entry) for entry in running]
         return all(
@@ -186,7 +188,7 @@
         )
 
     def _knows_endpoints(self, number: int) -> bool:
-        """Whether all running entries know as many endpoints."""
+        """Whether all running entries know at least a number of endpoints."""
         running = [entry for entry in self._fleet.entries if entry.running]
         statuses = [self._fleet.read_status(entry) for entry in running]
         return all(
@@ -194,7 +196,7 @@
         )
 
     def _execute(self, verb: str, step: Step) -> None:
-        """Carry out the verb of a step."""
+        """Execute the verb of a step."""
         if verb in FAULT_VERBS and self.first_fault_at is None:
             self.first_fault_at = read_clock()
         match verb, getattr(step, verb, None):
@@ -217,7 +219,7 @@
                 self._act_on_process(verb, name)
 
     def _act_on_process(self, verb: str, name: str) -> None:
-        """Carry out a verb that concerns one process."""
+        """Execute a verb that applies to one process."""
         member = self._fleet.members[self._resolve_process_name(name)]
         match verb:
             case "start":
@@ -241,7 +243,7 @@
                 self._fleet.lose_disk(member.name)
 
     def _resolve_process_name(self, name: str) -> str:
-        """Resolve `leader` and `follower` to the names of entries."""
+        """Resolve `leader` and `follower` to names of processes."""
         if name not in ("leader", "follower"):
             return name
         for entry in self._fleet.entries:
@@ -260,7 +262,7 @@
         raise FleetError("no entry knows the leader")
 
     def _stop(self, name: str) -> None:
-        """Stop a process as planned and note how it went."""
+        """Shut a process down gracefully and record the result."""
         member = self._fleet.members[name]
         self.expected_exits.add(name)
         member.terminate()
@@ -269,10 +271,10 @@
         planned_stop.exit_code = member.wait(STOP_TIMEOUT_SECONDS)
         planned_stop.ended = read_clock()
         if planned_stop.exit_code is None:
-            self.unmet.append(f"{name} did not stop in {STOP_TIMEOUT_SECONDS} s")
+            self.unmet.append(f"{name} did not stop within {STOP_TIMEOUT_SECONDS} s")
 
     def _submit(self, step: TicketStep) -> None:
-        """Submit a ticket as its step says."""
+        """Submit the tickets of a step."""
         content = self._scenario.tickets[step.name]
         if step.rival:
             self._operator.submit_concurrently(
@@ -285,15 +287,17 @@
                 self._operator.submit(number, content, step.entry)
 
     def _send(self, step: SendStep) -> None:
-        """Begin a stream of requests."""
+        """Start a stream of requests."""
         sender = Sender(self._fleet, step, self._scenario.seed)
         self._senders[step.id] = sender
         sender.start()
         if step.wait and not sender.wait(SEND_TIMEOUT_SECONDS):
-            raise FleetError(f"requests of {step.id} have no end")
+            raise FleetError(
+                f"requests of {step.id} did not finish within {SEND_TIMEOUT_SECONDS} s"
+            )
 
     def _announce(self, step: AnnounceStep) -> None:
-        """Announce an endpoint through an entry with some fields changed."""
+        """Post a changed copy of an endpoint's announcement to an entry."""
         entry = self._fleet.members[step.entry]
         _, body = send_http_request(
             entry.address, "GET", "/v1/endpoints", key=OPERATOR_KEY
@@ -312,10 +316,10 @@
             address, "POST", "/v1/endpoints", body, ENDPOINT_KEY
         )
         if status != 200:
-            raise FleetError(f"announcement: status {status}")
+            raise FleetError(f"announcement refused with status {status}")
 
     def _expect(self, step: ExpectStep) -> None:
-        """Note what is expected and does not hold."""
+        """Wait until an expectation is met, and record it as unmet on timeout."""
 
         def check() -> list[str]:
             transcripts = self._find_transcripts(step.of)
@@ -328,7 +332,7 @@
 
 
 def _make_rule(verb: str, link: LinkStep) -> Rule:
-    """Make the proxy's rule of a step."""
+    """Make the proxy rule for a step."""
     return Rule(
         Action(verb), link.sources, link.targets, link.seconds, link.share, link.new_too
     )
@@ -341,7 +345,7 @@
     runners: list[Runner],
     lag: float,
 ) -> Evidence:
-    """Gather what the checks need, then stop the fleet."""
+    """Collect the evidence for the checks and stop the fleet."""
     accepted = {ticket.number for ticket in operator.tickets if ticket.accepted}
     kept_tickets = {
         number: operator.is_kept(number) for number in sorted(accepted)[-20:]
@@ -350,14 +354,14 @@
     expected = {name for runner in runners for name in runner.expected_exits}
     expected |= {engine.name for engine in fleet.plan.engines if engine.poison}
     surprises = [
-        f"{member.name} ended with {member.process.poll()}"
+        f"{member.name} exited unexpectedly with status {member.process.poll()}"
         for member in fleet.members.values()
         if not member.running and member.name not in expected
     ]
     records = fleet.read_records()
     for name, code in fleet.stop().items():
         if code != 0:
-            surprises.append(f"{name} ended with {code} at the planned stop of all")
+            surprises.append(f"{name} exited with status {code} when the fleet stopped")
     return Evidence(
         transcripts=[
             transcript for runner in runners for transcript in runner.transcripts
@@ -378,14 +382,14 @@
 def run_scenarios(
     scenarios: list[Scenario], folder: Path
 ) -> tuple[Evidence, list[Runner]]:
-    """Run scenarios side by side on one fleet, that of the first.
+    """Run scenarios concurrently on the fleet of the first one.
 
     Parameters
     ----------
     scenarios : list of Scenario
-        One, or several that share a fleet.
+        One scenario, or several that share a fleet.
     folder : Path
-        Takes all files.
+        Folder for all files.
     """
     first = scenarios[0]
     with Fleet(first.fleet, folder) as fleet:
@@ -404,7 +408,7 @@
 def _prepare_fleet(
     fleet: Fleet, operator: Operator, scenario: Scenario, runner: Runner
 ) -> None:
-    """Apply the base ticket and wait until all know all endpoints."""
+    """Submit the base ticket and wait until all entries know all endpoints."""
     operator.submit(operator.allocate_number(), scenario.tickets["base"])
     plan = fleet.plan
     ready = Condition(effective=True, endpoints=len(plan.engines) + len(plan.services))
--- a/packages/fakes/src/bergamotwood_fakes/sampler.py
+++ b/packages/fakes/src/bergamotwood_fakes/sampler.py
@@ -1,4 +1,4 @@
-"""Samples what entries say of their configuration, all through a scenario."""
+"""Sampling of the entries' configurations during a scenario."""
 
 import gevent
 
@@ -11,12 +11,12 @@
 
 
 class Sampler:
-    """Asks each entry for its status in turn.
+    """Samples the status of each entry periodically.
 
     Parameters
     ----------
     fleet : Fleet
-        Whose entries.
+        Fleet of the entries.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -25,19 +25,19 @@
         self.latest: dict[str, dict] = {}
 
     def start(self) -> None:
-        """Begin to sample."""
+        """Start sampling all entries."""
         for entry in self._fleet.entries:
             gevent.spawn(self._run, entry)
 
     def _run(self, entry: ManagedProcess) -> None:
-        """Sample one entry for ever."""
+        """Sample one entry periodically while it runs."""
         while True:
             if entry.running:
                 self._sample(entry)
             gevent.sleep(INTERVAL_SECONDS)
 
     def _sample(self, entry: ManagedProcess) -> None:
-        """Take one sample; its time is when the question was sent."""
+        """Take one sample, with the time at which the request was sent."""
         requested_at = read_clock()
         pid = entry.process.pid
         status = self._fleet.read_status(entry)
--- a/packages/fakes/src/bergamotwood_fakes/scenario.py
+++ b/packages/fakes/src/bergamotwood_fakes/scenario.py
@@ -26,14 +26,14 @@
 
 
 def judge_scenarios(scenarios: list[Scenario], folder: Path) -> Result:
-    """Run scenarios side by side on one fleet and judge them.
+    """Run scenarios concurrently on one fleet and check the results.
 
     Parameters
     ----------
     scenarios : list of Scenario
-        One, whose expectations count, or a pair.
+        One scenario, or a pair; the expectations are checked for one only.
     folder : Path
-        Takes all files, with the evidence.
+        Folder for all files, including the evidence.
     """
     evidence, runners = run_scenarios(scenarios, folder)
     (folder / "evidence.json").write_bytes(json.encode(evidence))
@@ -43,13 +43,13 @@
 
 @command()
 @argument("files", type=FILE, nargs=-1, required=True)
-@option("--pairs", is_flag=True, help="Run each pair of the files side by side.")
-@option("--folder", type=PathType(path_type=Path), help="Keeps logs and evidence.")
-@option("--json", "report", type=PathType(path_type=Path), help="Writes results.")
+@option("--pairs", is_flag=True, help="Run each pair of files concurrently.")
+@option("--folder", type=PathType(path_type=Path), help="Folder for logs and evidence.")
+@option("--json", "report", type=PathType(path_type=Path), help="File for the results.")
 def main(
     files: tuple[Path, ...], pairs: bool, folder: Path | None, report: Path | None
 ) -> None:
-    """Run scenario files and judge the ten promises; exit 1 when one fails."""
+    """Run scenario files and check the ten promises; exit with 1 on a failure."""
     signal_handler(SIGTERM, getcurrent().throw, SystemExit(EXIT_TERMINATED))
     scenarios = [load_scenario(file) for file in files]
     groups = (
--- a/packages/fakes/src/bergamotwood_fakes/sender.py
+++ b/packages/fakes/src/bergamotwood_fakes/sender.py
@@ -1,4 +1,4 @@
-"""Sends the streams of requests of a scenario."""
+"""Sending of the request streams of a scenario."""
 
 from collections.abc import Iterator
 from random import Random
@@ -16,16 +16,16 @@
 
 
 class Sender:
-    """One stream of requests, each in a greenlet of its own.
+    """Sends one stream of requests in the background.
 
     Parameters
     ----------
     fleet : Fleet
-        Where to send.
+        Fleet that receives the requests.
     step : SendStep
-        What to send.
+        Description of the stream.
     seed : int
-        Of arrivals, prompts and choices.
+        Seed of arrivals, prompts and the choice of entries.
     """
 
     def __init__(self, fleet: Fleet, step: SendStep, seed: int) -> None:
@@ -37,27 +37,27 @@
 
     @property
     def transcripts(self) -> list[Transcript]:
-        """What was sent so far."""
+        """The transcripts of the requests sent so far."""
         return self._caller.transcripts
 
     @property
     def finished(self) -> bool:
-        """Whether all requests are over."""
+        """Whether all requests have finished."""
         return self._greenlet is not None and self._greenlet.ready()
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self._greenlet = gevent.spawn(self._run)
 
     def wait(self, seconds: float) -> bool:
-        """Wait for the end and say whether it came in time."""
+        """Wait until all requests finish and return whether they did in time."""
         self._greenlet.join(seconds)
         if self._greenlet.exception is not None:
             raise self._greenlet.exception
         return self._greenlet.ready()
 
     def _run(self) -> None:
-        """Send all requests, in an open loop when there is a rate."""
+        """Send all requests, in an open loop if a rate is given."""
         step = self._step
         if not step.rate:
             for number in range(step.count):
@@ -70,7 +70,7 @@
         gevent.joinall(running, raise_error=True)
 
     def _send_session(self, number: int) -> None:
-        """Send the requests of one session, each after the answer before it."""
+        """Send the requests of one session, each after the previous answer."""
         session = ""
         for turn in range(self._step.turns):
             request = self._make_request(f"{self._step.id}.{number}.{turn}", session)
@@ -80,7 +80,7 @@
             session = transcript.answer.session
 
     def _send(self, request: Request) -> Transcript:
-        """Send one request as the step says."""
+        """Send one request in the way that the step asks for."""
         step = self._step
         if step.race:
             return self._caller.send_concurrently(request, step.entries)
@@ -90,7 +90,7 @@
         return transcript
 
     def _make_request(self, mark: str, session: str) -> Request:
-        """Make the request of one mark."""
+        """Make the request with a given mark."""
         step = self._step
         match step.kind:
             case "chat":
@@ -113,5 +113,5 @@
                 raise ScenarioError(f"send: unknown kind {other}")
 
     def _draw_words(self) -> Iterator[str]:
-        """Draw the words of a prompt."""
+        """Draw the random words of a prompt."""
         return (self._random.choice(WORDS) for _ in range(self._step.words))
--- a/packages/fakes/src/bergamotwood_fakes/service.py
+++ b/packages/fakes/src/bergamotwood_fakes/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: `python -m bergamotwood_fakes.service`."""
+"""Fake plain service: `python -m bergamotwood_fakes.service`."""
 
 from pathlib import Path
 from random import Random
@@ -29,20 +29,20 @@
 
 
 class BrokenAnswerError(Exception):
-    """A fault that breaks the connection before the answer."""
+    """Injected fault that closes the connection before the answer."""
 
 
 class Service:
-    """A plain service: payments, availability, and an echo for the rest.
+    """Answers payments, availability checks, and an echo for other requests.
 
     Parameters
     ----------
     name : str
-        Of the service.
+        Name of the service.
     seconds : float
-        Time of one request.
+        Duration of one request.
     recorder : Recorder
-        Keeps the record of its runs.
+        Records its runs.
     """
 
     def __init__(self, name: str, seconds: float, recorder: Recorder) -> None:
@@ -55,7 +55,7 @@
     def handle_request(
         self, environ: Environ, start_response: StartResponse
     ) -> list[bytes]:
-        """Answer one HTTP request (a WSGI application)."""
+        """Handle one HTTP request (a WSGI application)."""
         if environ["PATH_INFO"] == "/fault":
             return self._set_faults(environ).send(start_response)
         body = read_body(environ)
@@ -72,7 +72,7 @@
         return answer.send(start_response)
 
     def _set_faults(self, environ: Environ) -> Response:
-        """Replace the faults in force."""
+        """Replace the injected faults."""
         try:
             self._faults = json.decode(read_body(environ), type=Faults)
         except (DecodeError, ValidationError) as error:
@@ -80,7 +80,7 @@
         return make_json_response(self._faults)
 
     def _run(self, run: Record) -> Response:
-        """Run a request, with the faults in force."""
+        """Run a request with the injected faults."""
         sleep(self._seconds + self._faults.extra_latency)
         if self._faults.break_after is not None:
             raise BrokenAnswerError
@@ -112,7 +112,7 @@
     service: str,
     seconds: float,
 ) -> None:
-    """Run a plain service stand-in until SIGTERM."""
+    """Run a fake plain service until SIGTERM."""
     endpoint_identity = Identity(EndpointId(identity), make_incarnation())
     recorder = Recorder(endpoint_identity, records)
     service_app = Service(service, seconds, recorder)
--- a/packages/fakes/src/bergamotwood_fakes/socket_owner.py
+++ b/packages/fakes/src/bergamotwood_fakes/socket_owner.py
@@ -1,4 +1,4 @@
-"""Finds which known process opened a connection on loopback."""
+"""Finds the process that opened a loopback connection."""
 
 from os import listdir, readlink
 from socket import (
@@ -11,7 +11,7 @@
 )
 from struct import calcsize, pack, unpack_from
 
-# Linux's interface for questions about sockets (sock_diag).
+# Constants and message formats of Linux's sock_diag interface.
 NETLINK_SOCK_DIAG = 4
 SOCK_DIAG_BY_FAMILY = 20
 NLM_F_REQUEST = 1
@@ -25,7 +25,7 @@
 
 
 def find_socket(local_port: int, remote_port: int) -> int | None:
-    """Find the inode of the socket that connects two ports of loopback."""
+    """Find the inode of the socket that connects two loopback ports."""
     socket_id = (
         pack("!HH", local_port, remote_port)
         + LOOPBACK
@@ -63,12 +63,12 @@
 def find_connection_owner(
     processes: dict[str, int], local_port: int, remote_port: int
 ) -> str | None:
-    """Find the name of the process that opened a connection.
+    """Find the name of the process that opened a connection, None if unknown.
 
     Parameters
     ----------
     processes : dict of str to int
-        Process id by name.
+        Process ids by name.
     local_port, remote_port : int
         Ports of the connection, as that process sees them.
     """
@@ -82,7 +82,7 @@
 
 
 def _read_link(path: str) -> str:
-    """Read a link, empty when it has gone."""
+    """Read a symbolic link, empty when it cannot be read."""
     try:
         return readlink(path)
     except OSError:
--- a/packages/fakes/src/bergamotwood_fakes/step.py
+++ b/packages/fakes/src/bergamotwood_fakes/step.py
@@ -1,4 +1,4 @@
-"""Steps of a scenario: the verbs of the language."""
+"""Steps of a scenario, each with one verb of the scenario language."""
 
 from msgspec import Struct, field
 
@@ -6,30 +6,31 @@
 
 
 class Condition(Struct, forbid_unknown_fields=True):
-    """What a step waits for; every given field must hold.
+    """What a step waits for; all given fields must be met.
 
     Parameters
     ----------
     answered, tried : int
-        Requests answered, or tries begun, of the stream `of` or of all.
+        Minimum number of requests of the stream `of` that were answered, or
+        that were begun.
     of : str
-        Stream of requests; empty for all.
+        Stream of requests; empty for all streams.
     running : int
-        Runs that endpoints have begun and not ended.
+        Minimum number of runs in progress at endpoints.
     ran : int
-        Runs that endpoints have begun.
+        Minimum number of runs that were started at endpoints.
     finished : str
-        Stream of requests that is over.
+        Stream whose requests have all finished.
     effective : bool
-        Every running entry has the newest accepted ticket in force.
+        Every running entry applies the latest accepted ticket.
     repaired : bool
-        Every running control replica counts for majorities.
+        Every running control replica takes part in voting.
     endpoints : int
-        Endpoints that every running entry knows.
+        Minimum number of endpoints that every running entry knows.
     ended : str
-        Process that has ended.
+        Process that has exited.
     within : float
-        Seconds after which the scenario fails.
+        Timeout in seconds, after which the step fails.
     """
 
     answered: int | None = None
@@ -51,15 +52,15 @@
     Parameters
     ----------
     name : str
-        Of the file's tickets.
+        Name of a ticket in the scenario file.
     entry : str
-        Where; empty for any that accepts it.
+        Entry to submit it to; empty for random running entries.
     rival : str
-        Ticket that is submitted with the same number at the same time.
+        Ticket that is submitted concurrently with the same number.
     resends : int
-        Times that the same ticket is submitted again.
+        Number of times that the same ticket is submitted again.
     copies : int
-        Tickets with rising numbers and the same content.
+        Number of tickets with this content and consecutive numbers.
     """
 
     name: str
@@ -79,29 +80,30 @@
     kind : str
         `chat`, `payment` or `lookup`.
     workspace, model, service, path : str
-        What is asked for.
+        Workspace, and the model or the service and path that it calls.
     count : int
-        Requests, or sessions when `turns` is more than one.
+        Number of requests, or of sessions when `turns` is more than one.
     rate : float
-        Arrivals a second, open loop; 0 for one after the other.
+        Arrivals per second in an open loop; 0 to send sequentially.
     turns : int
-        Requests of a session, one after the other.
+        Number of sequential requests of a session.
     text, words, max_tokens : str, int, int
-        Prompt's text, words added to it, and length of the answer.
+        Text of the prompt, number of random words added to it, and length of the
+        answer in tokens.
     stream, keyed : bool
-        Ask for events, and send an idempotency key.
+        Whether to ask for a streamed answer, and to send an idempotency key.
     entries : tuple of str
-        Entries to use; the fleet is asked without.
+        Entries to use in turn; by default the fleet is asked for addresses.
     race : bool
-        Send each request through all `entries` at once.
+        Whether to send each request to all `entries` concurrently.
     resend : bool
-        Send each request a second time after its answer.
+        Whether to send each request a second time after it has finished.
     tries : int
-        Sendings at most.
+        Maximum number of attempts.
     silence : float
-        Seconds without a byte after which a caller gives a connection up.
+        Idle timeout of a caller's connection, in seconds.
     wait : bool
-        Whether the next step waits for the end.
+        Whether the next step waits until the stream has finished.
     """
 
     id: str
@@ -127,14 +129,14 @@
 
 
 class FaultStep(Struct, forbid_unknown_fields=True):
-    """Set the faults of stand-ins; without `faults` they are lifted."""
+    """Inject faults into fake endpoints; empty `faults` remove them."""
 
     of: tuple[str, ...]
     faults: dict = field(default_factory=dict)
 
 
 class LinkStep(Struct, forbid_unknown_fields=True):
-    """Hurt connections at the proxy; see `bergamotwood_fakes.rule`."""
+    """Add a rule to the proxy; see `bergamotwood_fakes.rule`."""
 
     sources: tuple[str, ...] = (ANY_PROCESS,)
     targets: tuple[str, ...] = (ANY_PROCESS,)
@@ -144,16 +146,17 @@
 
 
 class AnnounceStep(Struct, forbid_unknown_fields=True):
-    """Announce an endpoint through an entry, as itself.
+    """Post a changed copy of an endpoint's announcement to an entry.
 
     Parameters
     ----------
     of : str
-        Endpoint whose last word is taken.
+        Endpoint whose latest announcement is copied.
     entry : str
-        Where.
+        Entry that receives the copy.
     changes : dict
-        Fields that differ.
+        Fields to replace; without `sequence` the sequence number grows by
+        1,000,000.
     """
 
     of: str
@@ -162,26 +165,26 @@
 
 
 class ExpectStep(Struct, forbid_unknown_fields=True):
-    """What must hold, at once or within some seconds.
+    """What must hold now or within some seconds.
 
     Parameters
     ----------
     of : str
-        Stream of requests; empty for all.
+        Stream of requests; empty for all streams.
     answered, refused, unknown : tuple of int
-        Least and most requests with that end.
+        Minimum and maximum number of requests with that outcome.
     seen : tuple of int
-        Result codes of which each was given to some try.
+        Result codes that must each have been returned at least once.
     codes : tuple of int, optional
-        Result codes that refusals may have; others are faults.
+        The only result codes that may be returned.
     longest_gap : float, optional
-        Seconds without an answer at most.
+        Maximum number of seconds without an answer.
     ran : tuple of int, optional
-        Least and most runs at endpoints of requests of the stream.
+        Minimum and maximum number of runs of the stream's requests at endpoints.
     versions : tuple of str, optional
-        Versions that answers may come from.
+        The only versions that may answer.
     within : float
-        Seconds in which it must come to hold.
+        Timeout in seconds.
     """
 
     of: str = ""
@@ -197,14 +200,14 @@
 
 
 class Step(Struct, forbid_unknown_fields=True):
-    """One verb, at a time or on a condition.
+    """One verb, executed at a given time and on a condition.
 
     Parameters
     ----------
     at : float, optional
-        Seconds after the start of the steps.
+        Earliest time, in seconds after the start of the scenario.
     when : Condition, optional
-        Waited for, after `at`.
+        Condition to wait for after `at`.
     """
 
     at: float | None = None
--- a/packages/fakes/src/bergamotwood_fakes/timeline.py
+++ b/packages/fakes/src/bergamotwood_fakes/timeline.py
@@ -1,4 +1,4 @@
-"""Configurations that could be in force at a time, from the tickets alone."""
+"""Configurations that entries may apply at a time, derived from the tickets."""
 
 from msgspec import Struct, field
 
@@ -6,18 +6,19 @@
 
 
 class Configuration(Struct):
-    """Configuration after a ticket, as far as the checks need it.
+    """The part of the configuration after a ticket that the checks need.
 
     Parameters
     ----------
     number : int
-        Ticket that made it.
+        Number of the ticket.
     sent, answered : float
-        When that ticket was first sent, and first known as accepted.
+        Times at which the ticket was first sent and first confirmed as accepted,
+        in seconds since boot.
     allowed : dict of str to frozenset of str
-        Versions and services that a workspace may use.
+        Versions and services that each workspace may use.
     withdrawn : frozenset of str
-        Versions that receive no new work.
+        Versions that must receive no new work.
     """
 
     number: int = 0
@@ -28,14 +29,14 @@
 
 
 class Timeline:
-    """States that accepted tickets made, in their order.
+    """The configurations after each accepted ticket, in order.
 
     Parameters
     ----------
     tickets : list of TicketSubmission
-        All that were submitted.
+        All submitted tickets.
     lag : float
-        Seconds after which an accepted ticket is in force everywhere.
+        Seconds after which all entries apply an accepted ticket.
     """
 
     def __init__(self, tickets: list[TicketSubmission], lag: float) -> None:
@@ -47,7 +48,7 @@
             self.configurations.append(_apply_ticket(self.configurations[-1], same))
 
     def find_possible(self, time: float) -> list[Configuration]:
-        """Find the states that an entry may have had in force at a time."""
+        """Find the configurations that an entry may have applied at a time."""
         newest_settled = 0
         for position, configuration in enumerate(self.configurations):
             if configuration.answered + self._lag < time:
@@ -61,7 +62,7 @@
 def _apply_ticket(
     before: Configuration, tickets: list[TicketSubmission]
 ) -> Configuration:
-    """Make the state after an accepted ticket."""
+    """Make the configuration after an accepted ticket."""
     content = tickets[0].content
     allowed = dict(before.allowed)
     for workspace in content.get("workspaces", ()):
@@ -79,7 +80,7 @@
 
 
 def _find_withdrawn(before: frozenset[str], content: dict) -> frozenset[str]:
-    """Find the versions that are withdrawn after a ticket."""
+    """Find the withdrawn versions after a ticket."""
     withdrawn = set(before)
     for model in content.get("models", ()):
         for version in model["versions"]:
--- a/packages/fakes/src/bergamotwood_fakes/transcript.py
+++ b/packages/fakes/src/bergamotwood_fakes/transcript.py
@@ -1,4 +1,4 @@
-"""Transcripts: what a caller sent and what it saw."""
+"""Transcripts of what a caller sent and received."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class Outcome(StrEnum):
-    """What a caller knows after one try."""
+    """What a caller knows about a request after an attempt."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -18,28 +18,29 @@
 
 
 class Request(Struct):
-    """A caller's request, the same for every try.
+    """A request of a caller, which is the same in each attempt.
 
     Parameters
     ----------
     mark : str
-        Text that is in the body or path, and so in the endpoints' records.
+        Unique text in the body or path, by which the endpoints' records refer to
+        the request.
     workspace : str
-        Whose request.
+        Workspace that sends it.
     method, path : str
-        HTTP request line.
+        Method and path of the HTTP request.
     body : bytes
-        The same for every try.
+        Body of the HTTP request.
     key : str
         Idempotency key, empty for none.
     idempotent : bool
         Whether it may run more than once.
     session : str
-        Session to go on with, empty for none.
+        Session to continue, empty for none.
     messages : list of dict
         The chat; empty for a plain service.
     max_tokens : int, optional
-        Length that was asked for.
+        Requested length of the answer.
     """
 
     mark: str
@@ -55,37 +56,37 @@
 
     @property
     def is_chat(self) -> bool:
-        """Whether it goes to a model."""
+        """Whether the request is for a model."""
         return bool(self.messages)
 
 
 class Attempt(Struct):
-    """One sending of a request.
+    """One attempt to send a request.
 
     Parameters
     ----------
     entry : str
-        Where it went.
+        Entry that received it.
     began, ended : float
-        Seconds on the machine's clock.
+        Start and end of the attempt, in seconds since boot.
     outcome : Outcome
-        What the caller knows.
+        What the caller knows about the request after the attempt.
     status, code : int
         HTTP status and result code.
     run : Run or None
-        What an error said about the request having run.
+        Whether the request ran, as stated in an error.
     text : str
-        The answer's text or body, as far as it came.
+        Text or body of the answer, as far as it was received.
     version, session, request_id : str
-        As the entry said.
+        Version, session and request id returned by the entry.
     first_token : float
-        Seconds to the first piece of the answer.
+        Seconds until the first part of the answer was received.
     cost : float
-        As the entry said.
+        Cost returned by the entry.
     retry_after : float
-        Wait that the entry asked for, in seconds.
+        Delay requested by the entry, in seconds.
     detail : str
-        Of an error, for a person.
+        Human-readable detail of an error.
     """
 
     entry: str
@@ -106,7 +107,7 @@
 
 
 class Transcript(Struct):
-    """A request with all its tries, in the order in which they began."""
+    """A request with all its attempts, in the order in which they began."""
 
     request: Request
     tries: list[Attempt] = field(default_factory=list)
@@ -114,7 +115,7 @@
 
     @property
     def answer(self) -> Attempt | None:
-        """The first try that was answered."""
+        """The first attempt that was answered, None if there is none."""
         for attempt in self.tries:
             if attempt.outcome is Outcome.ANSWERED:
                 return attempt
@@ -122,7 +123,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What the caller knows in the end."""
+        """What the caller knows after all attempts."""
         if self.answer is not None:
             return Outcome.ANSWERED
         not_run_outcomes = (Outcome.REFUSED, Outcome.UNREACHABLE)
--- a/packages/fakes/src/bergamotwood_fakes/web.py
+++ b/packages/fakes/src/bergamotwood_fakes/web.py
@@ -1,4 +1,4 @@
-"""Small parts of a WSGI stand-in: listener, JSON bodies, answers."""
+"""WSGI helpers of the fakes: listeners, request fields, JSON responses."""
 
 from collections.abc import Callable, Iterable
 from hmac import compare_digest
@@ -35,7 +35,7 @@
 
 
 class Response(Struct):
-    """An answer that is sent whole."""
+    """A response whose body is sent in one piece."""
 
     status: int
     body: bytes
@@ -43,7 +43,7 @@
     retry_after: float | None = None
 
     def send(self, start_response: StartResponse) -> list[bytes]:
-        """Send the head and return the body, as WSGI wants it."""
+        """Start the response and return its body, as WSGI requires."""
         headers = [
             ("Content-Type", self.content_type),
             ("Content-Length", str(len(self.body))),
@@ -55,14 +55,14 @@
 
 
 def make_json_response(value: object, status: int = 200) -> Response:
-    """Make an answer of a JSON value."""
+    """Make a response with a JSON body."""
     return Response(status, json.encode(value))
 
 
 def make_error_response(
     status: int, message: str, retry_after: float | None = None
 ) -> Response:
-    """Make an error in the OpenAI form."""
+    """Make an error response in the format of the OpenAI API."""
     body = json.encode({"error": {"message": message}})
     return Response(status, body, retry_after=retry_after)
 
@@ -73,22 +73,22 @@
 
 
 def read_header(environ: Environ, name: str) -> str:
-    """Read a header by its name, empty when it is missing."""
+    """Read a header field, empty when it is missing."""
     return environ.get("HTTP_" + name.upper().replace("-", "_"), "")
 
 
 class _SocketHandler(WSGIHandler):
-    """Handler that lets the application cut its connection."""
+    """Handler that gives the application access to the connection's socket."""
 
     def get_environ(self) -> Environ:
-        """Add the socket to the environment of the application."""
+        """Add the socket to the WSGI environment."""
         environ = super().get_environ()
         environ[SOCKET_KEY] = self.socket
         return environ
 
 
 def close_connection(environ: Environ) -> None:
-    """Close the connection of a request in both directions."""
+    """Shut down the connection of a request in both directions."""
     try:
         environ[SOCKET_KEY].shutdown(SHUT_RDWR)
     except OSError:
@@ -96,19 +96,19 @@
 
 
 def check_bearer(environ: Environ, key: str) -> bool:
-    """Whether a request carries the bearer key; an empty key lets all pass."""
+    """Whether a request carries the bearer key; an empty key allows all requests."""
     expected = f"Bearer {key}".encode()
     received = read_header(environ, "Authorization").encode()
     return not key or compare_digest(received, expected)
 
 
 def open_listener(address: Address) -> socket:
-    """Open a listening socket that sends small writes at once.
+    """Open a listening socket with Nagle's algorithm disabled.
 
     Raises
     ------
     OSError
-        When the address cannot be had.
+        When the address cannot be bound.
     """
     listener = socket(AF_INET)
     listener.setsockopt(SOL_SOCKET, SO_REUSEADDR, 1)
@@ -119,7 +119,7 @@
 
 
 def make_server(address: Address, application: Application) -> WSGIServer:
-    """Make a server that listens already; its port is `server_port`."""
+    """Make a server that is already listening; its port is `server_port`."""
     listener = open_listener(address)
     server = WSGIServer(
         listener,
@@ -133,7 +133,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read `host:port`.
+    """Parse `host:port`.
 
     Raises
     ------
--- a/packages/fakes/src/bergamotwood_fakes/weights.py
+++ b/packages/fakes/src/bergamotwood_fakes/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store: `python -m bergamotwood_fakes.weights`."""
+"""Fake weight store: `python -m bergamotwood_fakes.weights`."""
 
 from click import command, option
 from gevent import sleep
@@ -20,14 +20,14 @@
 
 
 class WeightStore:
-    """Gives the weights of versions, slowly and with a limit.
+    """Serves the weights of versions with a delay and a rate limit.
 
     Parameters
     ----------
     limit : RateLimit
-        Downloads a second.
+        Limit on downloads.
     seconds : float
-        Time of one download.
+        Duration of one download.
     """
 
     def __init__(self, limit: RateLimit, seconds: float) -> None:
@@ -37,28 +37,32 @@
     def handle_request(
         self, environ: Environ, start_response: StartResponse
     ) -> list[bytes]:
-        """Answer one HTTP request (a WSGI application)."""
+        """Handle one HTTP request (a WSGI application)."""
         path = environ["PATH_INFO"]
         if environ["REQUEST_METHOD"] != "GET" or not path.startswith(PATH):
             return make_error_response(404, "no such path").send(start_response)
         return self._download(path.removeprefix(PATH)).send(start_response)
 
     def _download(self, version: str) -> Response:
-        """Give one version's weights."""
+        """Serve the weights of one version."""
         wait = self._limit.take()
         if wait:
-            return make_error_response(429, "limit of downloads", retry_after=wait)
+            return make_error_response(
+                429, "download rate limit exceeded", retry_after=wait
+            )
         sleep(self._seconds)
         return make_json_response({"version": version})
 
 
 @command()
 @LISTEN
-@option("--rate", type=float, default=2.0, show_default=True, help="A second.")
+@option(
+    "--rate", type=float, default=2.0, show_default=True, help="Downloads per second."
+)
 @option("--burst", type=int, default=2, show_default=True)
 @option("--seconds", type=float, default=0.3, show_default=True)
 def main(listen: Address, rate: float, burst: int, seconds: float) -> None:
-    """Run a weight store stand-in until SIGTERM."""
+    """Run a fake weight store until SIGTERM."""
     store = WeightStore(RateLimit(rate, burst), seconds)
     run_until_stopped(make_server(listen, store.handle_request), "weights", "weights")
 
