--- a/packages/fakes/src/bergamotwood_fakes/caller.py
+++ b/packages/fakes/src/bergamotwood_fakes/caller.py
@@ -111,9 +111,9 @@
     def _cache_addresses(self, answer: dict) -> list[Address]:
         """Cache a response of `/v1/addresses` for its time to live."""
         self._addresses_expire_at = read_clock() + answer["ttl_seconds"]
-        found = [parse_address(row["address"]) for row in answer["addresses"]]
+        advertised = [parse_address(row["address"]) for row in answer["addresses"]]
         self._addresses = [
-            self._fleet.find_public_address(address) for address in found
+            self._fleet.find_public_address(address) for address in advertised
         ]
         return self._addresses
 
@@ -129,8 +129,12 @@
             or read_clock() > self._addresses_expire_at
         ):
             self.fetch_addresses()
-        known = {entry.public: entry for entry in self._fleet.entries}
-        usable = [known[address] for address in self._addresses if address in known]
+        entries_by_address = {entry.public: entry for entry in self._fleet.entries}
+        usable = [
+            entries_by_address[address]
+            for address in self._addresses
+            if address in entries_by_address
+        ]
         return self._random.choice(usable or self._fleet.entries)
 
     def _may_resend(self, request: Request, attempt: Attempt) -> bool:
--- a/packages/fakes/src/bergamotwood_fakes/checks.py
+++ b/packages/fakes/src/bergamotwood_fakes/checks.py
@@ -24,7 +24,7 @@
         check_withdrawn_versions,
         check_sessions,
         check_bills,
-        check_whole_answers,
+        check_complete_answers,
         check_not_run,
         check_at_most_once,
         check_leaving_endpoints,
@@ -69,9 +69,11 @@
         if attempt.outcome is Outcome.ANSWERED and attempt.session:
             version = attempt.text.split(" ", 1)[0]
             versions.setdefault(attempt.session, set()).add(version)
-    for session, found in versions.items():
-        if len(found) > 1:
-            detail = f"session {session[:24]} was answered by {sorted(found)}"
+    for session, answering_versions in versions.items():
+        if len(answering_versions) > 1:
+            detail = (
+                f"session {session[:24]} was answered by {sorted(answering_versions)}"
+            )
             yield Violation("session version", detail)
 
 
@@ -115,7 +117,7 @@
             yield Violation("billed once", detail)
 
 
-def check_whole_answers(evidence: Evidence) -> Iterator[Violation]:
+def check_complete_answers(evidence: Evidence) -> Iterator[Violation]:
     """Check that each answer is complete and belongs to its request."""
     for transcript in evidence.transcripts:
         for attempt in transcript.tries:
@@ -238,16 +240,16 @@
 def check_configuration(evidence: Evidence) -> Iterator[Violation]:
     """Check that accepted tickets take effect in time and are never reverted."""
     promise = "configuration"
-    for number, kept in evidence.kept_tickets.items():
-        if not kept:
+    for number, is_kept in evidence.kept_tickets.items():
+        if not is_kept:
             yield Violation(promise, f"accepted ticket {number} is lost")
     contents: dict[int, set[bytes]] = {}
     for ticket in evidence.tickets:
         if ticket.accepted:
             content = json.encode(ticket.content, order="sorted")
             contents.setdefault(ticket.number, set()).add(content)
-    for number, found in contents.items():
-        if len(found) > 1:
+    for number, distinct_contents in contents.items():
+        if len(distinct_contents) > 1:
             yield Violation(
                 promise, f"number {number} was accepted with different contents"
             )
@@ -258,7 +260,7 @@
     """Check the samples of the entries' configurations."""
     timeline = Timeline(evidence.tickets, evidence.lag)
     newest: dict[tuple[str, int], int] = {}
-    late: set[tuple[str, int]] = set()
+    reported: set[tuple[str, int]] = set()
     for sample in evidence.samples:
         process = (sample.entry, sample.process)
         if sample.ticket < newest.get(process, 0):
@@ -267,10 +269,16 @@
         newest[process] = max(sample.ticket, newest.get(process, 0))
         if sample.age is None or sample.age > MAX_FRESH_AGE_SECONDS or sample.draining:
             continue
-        wanted = timeline.find_possible(sample.time)[0].number
-        if sample.ticket < wanted and (sample.entry, wanted) not in late:
-            late.add((sample.entry, wanted))
-            detail = f"{sample.entry} applies ticket {sample.ticket}, expected {wanted}"
+        expected_number = timeline.find_possible(sample.time)[0].number
+        if (
+            sample.ticket < expected_number
+            and (sample.entry, expected_number) not in reported
+        ):
+            reported.add((sample.entry, expected_number))
+            detail = (
+                f"{sample.entry} applies ticket {sample.ticket}, "
+                f"expected {expected_number}"
+            )
             yield Violation("configuration", detail)
 
 
--- a/packages/fakes/src/bergamotwood_fakes/engine.py
+++ b/packages/fakes/src/bergamotwood_fakes/engine.py
@@ -143,7 +143,7 @@
         if self._draws_error(version):
             return make_error_response(500, "engine error").send(start_response)
         first_index = int(read_header(environ, "Bergamotwood-Resume-From") or 0)
-        run = self._recorder.start(environ, body, version)
+        run = self._recorder.record_start(environ, body, version)
         start_response("200 OK", [("Content-Type", "text/event-stream")])
         return self._stream(environ, run, chat, first_index)
 
@@ -169,7 +169,7 @@
             close_connection(environ)
         finally:
             self._batch.release_slot()
-            self._recorder.end(run, sent_events, finished)
+            self._recorder.record_end(run, sent_events, finished)
 
     def _generate_events(
         self, run: Record, chat: Chat, first_index: int
--- a/packages/fakes/src/bergamotwood_fakes/expectation.py
+++ b/packages/fakes/src/bergamotwood_fakes/expectation.py
@@ -78,12 +78,12 @@
 def _check_codes(expect: ExpectStep, transcripts: list[Transcript]) -> Iterator[str]:
     """Check the result codes and the answering versions."""
     tries = [attempt for transcript in transcripts for attempt in transcript.tries]
-    given = {attempt.code for attempt in tries if attempt.code}
+    returned_codes = {attempt.code for attempt in tries if attempt.code}
     for code in expect.seen:
-        if code not in given:
-            yield f"code {code} was never returned, only {sorted(given)}"
+        if code not in returned_codes:
+            yield f"code {code} was never returned, only {sorted(returned_codes)}"
     if expect.codes is not None:
-        for code in sorted(given - set(expect.codes)):
+        for code in sorted(returned_codes - set(expect.codes)):
             yield f"unexpected code {code}: {_find_detail(tries, code)}"
     if expect.versions is None:
         return
@@ -106,6 +106,6 @@
         return
     marks = {transcript.request.mark for transcript in transcripts}
     starts = [record for record in records if record.event is Event.START]
-    number = sum(record.mark in marks for record in starts)
-    if not expect.ran[0] <= number <= expect.ran[1]:
-        yield f"{number} runs, expected {expect.ran[0]} to {expect.ran[1]}"
+    run_count = sum(record.mark in marks for record in starts)
+    if not expect.ran[0] <= run_count <= expect.ran[1]:
+        yield f"{run_count} runs, expected {expect.ran[0]} to {expect.ran[1]}"
--- a/packages/fakes/src/bergamotwood_fakes/fleet.py
+++ b/packages/fakes/src/bergamotwood_fakes/fleet.py
@@ -13,7 +13,7 @@
 from bergamotwood_core.messages import Address
 from bergamotwood_fakes.launch import launch_logged, launch_module, read_start_message
 from bergamotwood_fakes.managed_process import ManagedProcess
-from bergamotwood_fakes.plan import EnginePlan, FleetPlan, ServicePlan, name_entry
+from bergamotwood_fakes.plan import EnginePlan, FleetPlan, ServicePlan, make_entry_name
 from bergamotwood_fakes.port import HOST, PortChooser
 from bergamotwood_fakes.record import Record, read_clock, read_records
 from bergamotwood_fakes.rule import Rule
@@ -108,7 +108,7 @@
     @property
     def entries(self) -> list[ManagedProcess]:
         """The daemons, all of which are entries."""
-        names = {name_entry(number + 1) for number in range(self.plan.entries)}
+        names = {make_entry_name(number + 1) for number in range(self.plan.entries)}
         return [member for name, member in self.members.items() if name in names]
 
     def start(self) -> None:
@@ -278,7 +278,7 @@
     def _add_entries(self) -> None:
         """Choose the replicas' addresses and add the daemons."""
         for number in range(self.plan.controls):
-            name = name_entry(number + 1)
+            name = make_entry_name(number + 1)
             self._peers[name] = self._choose_address()
         public_addresses = {
             name: self.publish_address(name, address)
@@ -293,7 +293,7 @@
 
     def _add_entry(self, number: int, replicas: list[dict]) -> None:
         """Write the settings of one daemon and add it."""
-        name = name_entry(number + 1)
+        name = make_entry_name(number + 1)
         address = self._choose_address()
         peer_address = self._peers.get(name) or self._choose_address()
         folder = self._folder / name
--- a/packages/fakes/src/bergamotwood_fakes/language.py
+++ b/packages/fakes/src/bergamotwood_fakes/language.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct, ValidationError, convert, yaml
 
-from bergamotwood_fakes.plan import FleetPlan, name_entry
+from bergamotwood_fakes.plan import FleetPlan, make_entry_name
 from bergamotwood_fakes.step import Step
 
 PROCESS_VERBS = ("start", "stop", "pause", "wake", "kill", "restart", "lose_disk")
@@ -66,7 +66,7 @@
 def _check_names(path: Path, scenario: Scenario) -> None:
     """Check that the processes and tickets named in steps exist."""
     plan = scenario.fleet
-    entries = {name_entry(number + 1) for number in range(plan.entries)}
+    entries = {make_entry_name(number + 1) for number in range(plan.entries)}
     endpoints = {endpoint.name for endpoint in (*plan.engines, *plan.services)}
     known = entries | endpoints | {"leader", "follower", "rating", "weights"}
     for step in scenario.steps:
@@ -90,7 +90,7 @@
     ScenarioError
         When it has several verbs, or neither a verb nor something to wait for.
     """
-    given = [name for name in VERBS if getattr(step, name) is not None]
-    if len(given) > 1 or (not given and step.at is None and step.when is None):
-        raise ScenarioError(f"a step must have one verb or a wait, found verbs {given}")
-    return given[0] if given else ""
+    verbs = [name for name in VERBS if getattr(step, name) is not None]
+    if len(verbs) > 1 or (not verbs and step.at is None and step.when is None):
+        raise ScenarioError(f"a step must have one verb or a wait, found verbs {verbs}")
+    return verbs[0] if verbs else ""
--- a/packages/fakes/src/bergamotwood_fakes/operator.py
+++ b/packages/fakes/src/bergamotwood_fakes/operator.py
@@ -76,7 +76,8 @@
         """Submit two tickets with the same number concurrently."""
         number = self.allocate_number()
         submissions = [
-            gevent.spawn(self.submit, number, each) for each in (content, rival)
+            gevent.spawn(self.submit, number, ticket_content)
+            for ticket_content in (content, rival)
         ]
         gevent.joinall(submissions, raise_error=True)
         return [greenlet.value for greenlet in submissions]
--- a/packages/fakes/src/bergamotwood_fakes/plan.py
+++ b/packages/fakes/src/bergamotwood_fakes/plan.py
@@ -61,6 +61,6 @@
     settings: dict = field(default_factory=dict)
 
 
-def name_entry(number: int) -> str:
+def make_entry_name(number: int) -> str:
     """Name an entry by its number, counted from 1."""
     return f"entry-{number}"
--- a/packages/fakes/src/bergamotwood_fakes/rating.py
+++ b/packages/fakes/src/bergamotwood_fakes/rating.py
@@ -71,10 +71,10 @@
             request = json.decode(read_body(environ), type=RatingRequest)
         except (DecodeError, ValidationError) as error:
             return make_error_response(400, str(error))
-        wait = self._limit.take()
-        if wait:
+        retry_after = self._limit.take()
+        if retry_after:
             return make_error_response(
-                429, "rating rate limit exceeded", retry_after=wait
+                429, "rating rate limit exceeded", retry_after=retry_after
             )
         sleep(self._seconds)
         quality = read_quality(request.answer) or 0.0
--- a/packages/fakes/src/bergamotwood_fakes/record.py
+++ b/packages/fakes/src/bergamotwood_fakes/record.py
@@ -108,8 +108,10 @@
     """Find the runs of the latest incarnation that started but did not end."""
     if not records:
         return []
-    last = max(record.incarnation for record in records)
-    runs = [record for record in records if record.incarnation == last]
-    ended = {record.run for record in runs if record.event is Event.END}
-    starts = (record for record in runs if record.event is Event.START)
+    latest_incarnation = max(record.incarnation for record in records)
+    latest_records = [
+        record for record in records if record.incarnation == latest_incarnation
+    ]
+    ended = {record.run for record in latest_records if record.event is Event.END}
+    starts = (record for record in latest_records if record.event is Event.START)
     return [record for record in starts if record.run not in ended]
--- a/packages/fakes/src/bergamotwood_fakes/recorder.py
+++ b/packages/fakes/src/bergamotwood_fakes/recorder.py
@@ -40,7 +40,7 @@
         self.running = 0
         self.leaving = False
 
-    def start(self, environ: Environ, body: bytes, version: str) -> Record:
+    def record_start(self, environ: Environ, body: bytes, version: str) -> Record:
         """Record the start of a run."""
         record = Record(
             event=Event.START,
@@ -61,7 +61,7 @@
         self._file.write(record)
         return record
 
-    def end(self, started: Record, tokens: int, finished: bool) -> None:
+    def record_end(self, started: Record, tokens: int, finished: bool) -> None:
         """Record the end of a run; an unfinished run counts as cancelled."""
         record = replace(
             started,
--- a/packages/fakes/src/bergamotwood_fakes/report.py
+++ b/packages/fakes/src/bergamotwood_fakes/report.py
@@ -57,7 +57,7 @@
 
 
 def make_result(
-    name: str, evidence: Evidence, runners: list[Runner], judge_expectations: bool
+    name: str, evidence: Evidence, runners: list[Runner], include_expectations: bool
 ) -> Result:
     """Check the evidence of a scenario run.
 
@@ -69,7 +69,7 @@
         Evidence of the run.
     runners : list of Runner
         Runners of the scenarios.
-    judge_expectations : bool
+    include_expectations : bool
         Whether to report unmet expectations; scenarios that run in pairs may miss
         theirs.
     """
@@ -87,7 +87,7 @@
         back_to_normal=_measure_recovery(transcripts, min(faults)) if faults else 0.0,
         violations=check_promises(evidence),
         unmet=[fault for runner in runners for fault in runner.unmet]
-        if judge_expectations
+        if include_expectations
         else [],
         troubles=_count_troubles(transcripts),
     )
--- a/packages/fakes/src/bergamotwood_fakes/scenario.py
+++ b/packages/fakes/src/bergamotwood_fakes/scenario.py
@@ -25,7 +25,7 @@
 FILE = PathType(path_type=Path, exists=True)
 
 
-def judge_scenarios(scenarios: list[Scenario], folder: Path) -> Result:
+def run_and_check_scenarios(scenarios: list[Scenario], folder: Path) -> Result:
     """Run scenarios concurrently on one fleet and check the results.
 
     Parameters
@@ -64,7 +64,7 @@
     for number, group in enumerate(groups, 1):
         group_folder = base_folder / f"{number:03}"
         group_folder.mkdir(parents=True)
-        results.append(judge_scenarios(group, group_folder))
+        results.append(run_and_check_scenarios(group, group_folder))
         echo(format_result(results[-1]))
     if report is not None:
         write_results(results, report)
--- a/packages/fakes/src/bergamotwood_fakes/sender.py
+++ b/packages/fakes/src/bergamotwood_fakes/sender.py
@@ -63,11 +63,11 @@
             for number in range(step.count):
                 self._send_session(number)
             return
-        running = []
+        greenlets = []
         for number in range(step.count):
-            running.append(gevent.spawn(self._send_session, number))
+            greenlets.append(gevent.spawn(self._send_session, number))
             gevent.sleep(self._random.expovariate(step.rate))
-        gevent.joinall(running, raise_error=True)
+        gevent.joinall(greenlets, raise_error=True)
 
     def _send_session(self, number: int) -> None:
         """Send the requests of one session, each after the previous answer."""
--- a/packages/fakes/src/bergamotwood_fakes/service.py
+++ b/packages/fakes/src/bergamotwood_fakes/service.py
@@ -61,14 +61,14 @@
         body = read_body(environ)
         if self._random.random() < self._faults.error_rate:
             return make_error_response(500, "service error").send(start_response)
-        run = self._recorder.start(environ, body, self._name)
+        run = self._recorder.record_start(environ, body, self._name)
         try:
             answer = self._run(run)
         except BrokenAnswerError:
-            self._recorder.end(run, 0, False)
+            self._recorder.record_end(run, 0, False)
             close_connection(environ)
             return []
-        self._recorder.end(run, 1, True)
+        self._recorder.record_end(run, 1, True)
         return answer.send(start_response)
 
     def _set_faults(self, environ: Environ) -> Response:
--- a/packages/fakes/src/bergamotwood_fakes/timeline.py
+++ b/packages/fakes/src/bergamotwood_fakes/timeline.py
@@ -60,11 +60,11 @@
 
 
 def _apply_ticket(
-    before: Configuration, tickets: list[TicketSubmission]
+    previous: Configuration, tickets: list[TicketSubmission]
 ) -> Configuration:
     """Make the configuration after an accepted ticket."""
     content = tickets[0].content
-    allowed = dict(before.allowed)
+    allowed = dict(previous.allowed)
     for workspace in content.get("workspaces", ()):
         usable = {*workspace.get("versions", ()), *workspace.get("services", ())}
         allowed[workspace["name"]] = frozenset(usable)
@@ -75,7 +75,7 @@
         sent=min(ticket.sent for ticket in tickets),
         answered=min(ticket.answered for ticket in tickets),
         allowed=allowed,
-        withdrawn=_find_withdrawn(before.withdrawn, content),
+        withdrawn=_find_withdrawn(previous.withdrawn, content),
     )
 
 
--- a/packages/fakes/src/bergamotwood_fakes/weights.py
+++ b/packages/fakes/src/bergamotwood_fakes/weights.py
@@ -45,10 +45,10 @@
 
     def _download(self, version: str) -> Response:
         """Serve the weights of one version."""
-        wait = self._limit.take()
-        if wait:
+        retry_after = self._limit.take()
+        if retry_after:
             return make_error_response(
-                429, "download rate limit exceeded", retry_after=wait
+                429, "download rate limit exceeded", retry_after=retry_after
             )
         sleep(self._seconds)
         return make_json_response({"version": version})
--- a/tests/fakes/test_checks.py
+++ b/tests/fakes/test_checks.py
@@ -43,8 +43,8 @@
 
 
 def make_answered_transcript(request, time=100.0, session="", version="small:1"):
-    grade = compute_quality(0.8, request.messages)
-    text = "".join(make_answer(version, request.messages, grade))
+    quality = compute_quality(0.8, request.messages)
+    text = "".join(make_answer(version, request.messages, quality))
     attempt = Attempt("entry-1", time, time + 1, Outcome.ANSWERED, 200, text=text)
     attempt.request_id = "entry-1-7-1"
     attempt.session = session
--- a/tests/fakes/test_engine.py
+++ b/tests/fakes/test_engine.py
@@ -35,10 +35,10 @@
 
 def test_resumed_stream_equals_the_rest_of_the_original(start_fake):
     engine = start_engine(start_fake)
-    _, whole = engine.call("POST", PATH, json.encode(CHAT))
+    _, full_body = engine.call("POST", PATH, json.encode(CHAT))
     resume = {"Bergamotwood_Resume_From": "3"}
-    _, rest = engine.call("POST", PATH, json.encode(CHAT), **resume)
-    assert read_events(rest) == read_events(whole)[3:]
+    _, resumed_body = engine.call("POST", PATH, json.encode(CHAT), **resume)
+    assert read_events(resumed_body) == read_events(full_body)[3:]
 
 
 def test_request_for_an_unloaded_version_returns_404(start_fake):
