--- a/packages/fakes/src/bergamotwood_fakes/checks.py
+++ b/packages/fakes/src/bergamotwood_fakes/checks.py
@@ -36,7 +36,7 @@
 
 
 def check_allowed_versions(evidence: Evidence) -> Iterator[Violation]:
-    """Check that each run used a version that its workspace allows."""
+    """Check that each run used a version or service that its workspace allows."""
     timeline = Timeline(evidence.tickets, evidence.lag)
     workspaces = _map_workspaces(evidence)
     for run in evidence.starts:
@@ -251,7 +251,7 @@
     for number, distinct_contents in contents.items():
         if len(distinct_contents) > 1:
             yield Violation(
-                promise, f"number {number} was accepted with different contents"
+                promise, f"ticket number {number} was accepted with different contents"
             )
     yield from _check_samples(evidence)
 
--- a/packages/fakes/src/bergamotwood_fakes/step.py
+++ b/packages/fakes/src/bergamotwood_fakes/step.py
@@ -165,7 +165,7 @@
 
 
 class ExpectStep(Struct, forbid_unknown_fields=True):
-    """What must hold now or within some seconds.
+    """An expectation that must be met at once or within some seconds.
 
     Parameters
     ----------
