--- a/packages/fakes/src/bergamotwood_fakes/announcer.py
+++ b/packages/fakes/src/bergamotwood_fakes/announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a stand-in to the entries."""
+"""Announcements of a fake endpoint to the entries."""
 
 from collections.abc import Callable
 from time import time_ns
@@ -19,21 +19,21 @@
 
 
 def make_incarnation() -> Incarnation:
-    """Make a number that rises with each start, in milliseconds of the date."""
+    """Make a number that grows with each start: the Unix time in milliseconds."""
     return Incarnation(time_ns() // 1_000_000)
 
 
 class Announcer:
-    """Tells the entries about an endpoint, one entry at a time.
+    """Announces an endpoint periodically, to one entry at a time.
 
     Parameters
     ----------
     entries : tuple of Address
-        Tried in turn; the next one after a failure.
+        Entries to announce to; after a failure the next one is used.
     key : str
         Endpoint key.
     describe : callable
-        Gives the announcement of now; its sequence and state are set here.
+        Returns the current announcement; its sequence and state are set here.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
     ) -> None:
         self._entries = entries
         self._describe = describe
-        self._turn = 0
+        self._entry_index = 0
         self._sequence = 0
         self._state = EndpointState.SERVING
         self._headers = {
@@ -54,38 +54,38 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the endpoint has said that it leaves."""
+        """Whether the endpoint has begun to announce that it leaves."""
         return self._state is EndpointState.LEAVING
 
     def run(self) -> None:
-        """Announce for ever."""
+        """Announce periodically until the greenlet is killed."""
         while True:
-            heard = self.announce()
-            sleep(INTERVAL_SECONDS if heard else RETRY_SECONDS)
+            accepted = self.announce()
+            sleep(INTERVAL_SECONDS if accepted else RETRY_SECONDS)
 
     def leave(self) -> None:
-        """Announce that the endpoint leaves, to each entry until one hears."""
+        """Announce that the endpoint leaves, until one entry accepts it."""
         self._state = EndpointState.LEAVING
         for _ in self._entries:
             if self.announce():
                 return
 
     def announce(self) -> bool:
-        """Announce once and say whether an entry took it."""
+        """Announce once and return whether an entry accepted it."""
         if not self._entries:
             return False
         self._sequence += 1
         announcement = replace(
             self._describe(), sequence=Sequence(self._sequence), state=self._state
         )
-        entry = self._entries[self._turn % len(self._entries)]
+        entry = self._entries[self._entry_index % len(self._entries)]
         if self._post(entry, json.encode(announcement)):
             return True
-        self._turn += 1
+        self._entry_index += 1
         return False
 
     def _post(self, entry: Address, body: bytes) -> bool:
-        """Post an announcement to one entry."""
+        """Post an announcement to one entry and return whether it accepted it."""
         client = HTTPClient(
             entry.host,
             entry.port,
--- a/packages/fakes/src/bergamotwood_fakes/engine.py
+++ b/packages/fakes/src/bergamotwood_fakes/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: `python -m bergamotwood_fakes.engine`."""
+"""Fake model engine: `python -m bergamotwood_fakes.engine`."""
 
 from collections.abc import Iterator
 from os import _exit
@@ -13,7 +13,7 @@
 from bergamotwood_core.messages import Address, Announcement
 from bergamotwood_core.states import EndpointKind, EndpointState
 from bergamotwood_fakes.announcer import Announcer, make_incarnation
-from bergamotwood_fakes.answer import grade_answer, join_prompt, make_answer
+from bergamotwood_fakes.answer import compute_quality, join_prompt, make_answer
 from bergamotwood_fakes.batch import Batch, PrefixCache, Speed
 from bergamotwood_fakes.fault import Faults
 from bergamotwood_fakes.loader import Loader, Order
@@ -22,20 +22,20 @@
 from bergamotwood_fakes.record import Record, find_unfinished, read_records
 from bergamotwood_fakes.recorder import Identity, Recorder
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
     check_bearer,
-    cut_connection,
-    make_error,
-    make_json,
+    close_connection,
+    make_error_response,
+    make_json_response,
     make_server,
     read_body,
     read_header,
 )
 
-CRASH_STATUS = 13
-FAULT_CHECK_SECONDS = 0.1
+CRASH_EXIT_CODE = 13
+FAULT_POLL_SECONDS = 0.1
 DEFAULT_QUALITY = 0.9
 
 
@@ -49,28 +49,28 @@
 
 
 class BrokenStreamError(Exception):
-    """A fault that breaks the connection in the middle of a stream."""
+    """Injected fault that closes the connection in the middle of a stream."""
 
 
 class Engine:
-    """A model engine that answers in the OpenAI chat form.
+    """A model engine that answers in the format of the OpenAI chat API.
 
     Parameters
     ----------
     batch : Batch
-        Its slots and speed.
+        Batch slots and decode times.
     cache : PrefixCache
-        Its prompt cache.
+        Prefix cache.
     loader : Loader
-        Its loaded versions.
+        Loaded versions.
     recorder : Recorder
-        Keeps the record of its runs.
+        Records the runs.
     qualities : dict of str to float
-        Mean quality of versions.
+        Mean quality by version.
     order_key : str
-        Key that orders must carry, empty for none.
+        Key required in orders; empty for none.
     poison : str
-        Prompts that contain it crash the process; empty for none.
+        Text that crashes the process when a prompt contains it; empty for none.
     """
 
     def __init__(
@@ -95,92 +95,96 @@
 
     @property
     def load(self) -> int:
-        """Requests running or waiting."""
+        """Number of running and waiting requests."""
         return self._batch.load
 
-    def answer(self, environ: Environ, start_response: StartResponse):  # noqa: ANN201
-        """Answer one HTTP request (a WSGI application)."""
+    def handle_request(self, environ: Environ, start_response: StartResponse):  # noqa: ANN201
+        """Handle one HTTP request (a WSGI application)."""
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/v1/chat/completions":
-                return self._chat(environ, start_response)
+                return self._handle_chat(environ, start_response)
             case "POST", "/v1/orders":
-                return self._order(environ).send(start_response)
+                return self._handle_order(environ).send(start_response)
             case "POST", "/fault":
                 return self._set_faults(environ).send(start_response)
             case _:
-                return make_error(404, "no such path").send(start_response)
+                return make_error_response(404, "no such path").send(start_response)
 
-    def _set_faults(self, environ: Environ) -> Answer:
-        """Replace the faults in force."""
+    def _set_faults(self, environ: Environ) -> Response:
+        """Replace the injected faults."""
         try:
             self._faults = json.decode(read_body(environ), type=Faults)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
-        return make_json(self._faults)
+            return make_error_response(400, str(error))
+        return make_json_response(self._faults)
 
-    def _order(self, environ: Environ) -> Answer:
-        """Take an order to load a version."""
+    def _handle_order(self, environ: Environ) -> Response:
+        """Handle an order to load or unload a version."""
         if not check_bearer(environ, self._order_key):
-            return make_error(401, "wrong key")
+            return make_error_response(401, "wrong key")
         try:
             order = json.decode(read_body(environ), type=Order)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
-        return self._loader.take(order)
+            return make_error_response(400, str(error))
+        return self._loader.execute(order)
 
-    def _chat(self, environ: Environ, start_response: StartResponse):  # noqa: ANN202
+    def _handle_chat(self, environ: Environ, start_response: StartResponse):  # noqa: ANN202
         """Check a chat request and stream its answer."""
         body = read_body(environ)
         try:
             chat = json.decode(body, type=Chat)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error)).send(start_response)
+            return make_error_response(400, str(error)).send(start_response)
         version = read_header(environ, "Bergamotwood-Version") or chat.model
         if version not in self._loader.versions:
-            return make_error(404, f"{version} not loaded").send(start_response)
-        if self._fail(version):
-            return make_error(500, "engine error").send(start_response)
-        first = int(read_header(environ, "Bergamotwood-Resume-From") or 0)
-        run = self._recorder.start(environ, body, version)
+            return make_error_response(404, f"{version} is not loaded").send(
+                start_response
+            )
+        if self._draws_error(version):
+            return make_error_response(500, "engine error").send(start_response)
+        first_index = int(read_header(environ, "Bergamotwood-Resume-From") or 0)
+        run = self._recorder.record_start(environ, body, version)
         start_response("200 OK", [("Content-Type", "text/event-stream")])
-        return self._stream(environ, run, chat, first)
+        return self._stream(environ, run, chat, first_index)
 
-    def _fail(self, version: str) -> bool:
-        """Whether the error fault strikes this request."""
-        if not self._faults.concerns(version):
+    def _draws_error(self, version: str) -> bool:
+        """Whether this request fails, drawn with the injected error rate."""
+        if not self._faults.matches(version):
             return False
         return self._random.random() < self._faults.error_rate
 
     def _stream(
-        self, environ: Environ, run: Record, chat: Chat, first: int
+        self, environ: Environ, run: Record, chat: Chat, first_index: int
     ) -> Iterator[bytes]:
-        """Run a request in the batch and give its server-sent events."""
-        sent = 0
+        """Run a request in the batch and yield its server-sent events."""
+        sent_events = 0
         finished = False
-        self._batch.enter(chat.priority)
+        self._batch.acquire_slot(chat.priority)
         try:
-            for event in self._generate(run, chat, first):
+            for event in self._generate_events(run, chat, first_index):
                 yield event
-                sent += 1
+                sent_events += 1
             finished = True
         except BrokenStreamError:
-            cut_connection(environ)
+            close_connection(environ)
         finally:
-            self._batch.leave()
-            self._recorder.end(run, sent, finished)
+            self._batch.release_slot()
+            self._recorder.record_end(run, sent_events, finished)
 
-    def _generate(self, run: Record, chat: Chat, first: int) -> Iterator[bytes]:
-        """Spend the time of a request and make its events."""
+    def _generate_events(
+        self, run: Record, chat: Chat, first_index: int
+    ) -> Iterator[bytes]:
+        """Yield the events of a request as the batch produces them."""
         prompt = join_prompt(chat.messages)
         if self._poison and self._poison in prompt:
-            _exit(CRASH_STATUS)
+            _exit(CRASH_EXIT_CODE)
         words = prompt.split()
-        cached = self._cache.take(run.version, words)
+        cached = self._cache.look_up_and_store(run.version, words)
         sleep(self._faults.extra_latency)
         self._batch.prefill(len(words), cached)
-        grade = grade_answer(self._read_quality(run.version), chat.messages)
-        tokens = make_answer(run.version, chat.messages, grade, chat.max_tokens)
-        yield from self._send_tokens(run.request, tokens, first)
+        quality = compute_quality(self._get_quality(run.version), chat.messages)
+        tokens = make_answer(run.version, chat.messages, quality, chat.max_tokens)
+        yield from self._send_tokens(run.request, tokens, first_index)
         usage = {
             "prompt_tokens": len(words),
             "completion_tokens": len(tokens),
@@ -190,57 +194,57 @@
         yield b"data: [DONE]\n\n"
 
     def _send_tokens(
-        self, request: str, tokens: list[str], first: int
+        self, request: str, tokens: list[str], first_index: int
     ) -> Iterator[bytes]:
-        """Make a chunk of each token, at the speed of the batch."""
-        for index in self._order_chunks(first, len(tokens)):
-            self._batch.step()
-            self._interrupt(index)
+        """Yield one chunk per token, at the speed of the batch."""
+        for index in self._order_chunks(first_index, len(tokens)):
+            self._batch.decode_step()
+            self._apply_stream_fault(index)
             yield _make_chunk(request, index, tokens[index])
 
     def _order_chunks(self, first: int, end: int) -> list[int]:
-        """Order the indices of chunks as the faults want it."""
+        """List the indices of the chunks, reordered or repeated by faults."""
         indices = list(range(first, end))
         if self._faults.reorder:
-            for place in range(0, len(indices) - 1, 2):
-                swapped = indices[place + 1], indices[place]
-                indices[place : place + 2] = swapped
+            for position in range(0, len(indices) - 1, 2):
+                swapped = indices[position + 1], indices[position]
+                indices[position : position + 2] = swapped
         if self._faults.repeat:
             indices = [index for index in indices for _ in range(2)]
         return indices
 
-    def _interrupt(self, index: int) -> None:
-        """Let the stream break or go silent when a fault says so."""
+    def _apply_stream_fault(self, index: int) -> None:
+        """Break or stall the stream when a fault applies at this token."""
         faults = self._faults
         if faults.break_after is not None and index >= faults.break_after:
             raise BrokenStreamError
         if faults.silent_after is not None and index >= faults.silent_after:
             while self._faults is faults:
-                sleep(FAULT_CHECK_SECONDS)
+                sleep(FAULT_POLL_SECONDS)
             raise BrokenStreamError
 
-    def _read_quality(self, version: str) -> float:
-        """Mean quality of a version, or what a fault makes of it."""
+    def _get_quality(self, version: str) -> float:
+        """Get the mean quality of a version, which a fault can replace."""
         faults = self._faults
-        if faults.bad_quality is not None and faults.concerns(version):
+        if faults.bad_quality is not None and faults.matches(version):
             return faults.bad_quality
         return self._qualities.get(version, DEFAULT_QUALITY)
 
 
 def _make_chunk(request: str, index: int, token: str) -> bytes:
-    """Make the server-sent event of one token."""
+    """Make the server-sent event for one token."""
     choice = {"index": 0, "delta": {"content": token}, "finish_reason": None}
     return _make_event(request, index, choice, None)
 
 
 def _make_last_chunk(request: str, index: int, usage: dict) -> bytes:
-    """Make the server-sent event that ends the answer."""
+    """Make the last server-sent event, with the finish reason and the usage."""
     choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
     return _make_event(request, index, choice, usage)
 
 
 def _make_event(request: str, index: int, choice: dict, usage: dict | None) -> bytes:
-    """Make one server-sent event in the OpenAI form."""
+    """Make one server-sent event in the format of the OpenAI API."""
     chunk = {
         "id": request,
         "object": "chat.completion.chunk",
@@ -253,23 +257,27 @@
 
 
 def _parse_qualities(texts: tuple[str, ...]) -> dict[str, float]:
-    """Read `model:version=quality` options."""
+    """Parse the `model:version=quality` options."""
     pairs = (text.rsplit("=", 1) for text in texts)
     return {version: float(quality) for version, quality in pairs}
 
 
 @command()
 @add_endpoint_options
-@option("--version", "versions", multiple=True, help="Loaded at the start.")
+@option("--version", "versions", multiple=True, help="Version loaded at the start.")
 @option("--quality", "qualities", multiple=True, help="model:version=0.9")
 @option("--token-seconds", type=float, default=0.004, show_default=True)
 @option("--batch-growth", type=float, default=0.05, show_default=True)
 @option("--prefill-seconds", type=float, default=0.00002, show_default=True)
 @option("--cache-blocks", type=int, default=2_000, show_default=True)
 @option("--weights", type=ADDRESS, help="The weight store.")
-@option("--order-key", default="", help="Key that orders must carry.")
+@option("--order-key", default="", help="Key required in orders.")
 @option("--checks-fencing/--no-checks-fencing", default=True)
-@option("--poison", default="", help="A prompt with this text crashes the process.")
+@option(
+    "--poison",
+    default="",
+    help="Text that crashes the process when a prompt contains it.",
+)
 def main(
     identity: str,
     listen: Address,
@@ -291,26 +299,26 @@
     checks_fencing: bool,
     poison: str,
 ) -> None:
-    """Run a model engine stand-in until SIGTERM."""
+    """Run a fake model engine until SIGTERM."""
     suspects = find_unfinished(read_records(records)) if records else []
-    who = Identity(EndpointId(identity), make_incarnation())
+    endpoint_identity = Identity(EndpointId(identity), make_incarnation())
     speed = Speed(token_seconds, batch_growth, prefill_seconds)
     engine = Engine(
         Batch(capacity, speed),
         PrefixCache(cache_blocks),
         loader := Loader(versions, weights, checks_fencing),
-        recorder := Recorder(who, records),
+        recorder := Recorder(endpoint_identity, records),
         _parse_qualities(qualities),
         order_key,
         poison,
     )
-    server = make_server(listen, engine.answer)
+    server = make_server(listen, engine.handle_request)
     address = public or Address(listen.host, server.server_port)
 
     def describe() -> Announcement:
         return Announcement(
-            id=who.id,
-            incarnation=who.incarnation,
+            id=endpoint_identity.id,
+            incarnation=endpoint_identity.incarnation,
             sequence=0,
             address=address,
             data_centre=data_centre,
--- a/packages/fakes/src/bergamotwood_fakes/loader.py
+++ b/packages/fakes/src/bergamotwood_fakes/loader.py
@@ -1,19 +1,22 @@
-"""Loading of versions by an engine stand-in, on orders that carry a fencing token."""
+"""Loading of versions by the fake engine, with checks of fencing tokens."""
 
 from gevent import sleep
 from geventhttpclient import HTTPClient
 from msgspec import Struct
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.web import Answer, make_error, make_json
+from bergamotwood_fakes.web import Response, make_error_response, make_json_response
 
 TIMEOUT_SECONDS = 30.0
 DEFAULT_RETRY_SECONDS = 0.2
-LOAD_ATTEMPTS = 50
+MAX_FETCH_ATTEMPTS = 50
 
 
 class Order(Struct):
-    """An order to an engine; `term` and `index` are its fencing token."""
+    """An order to load or unload a version, with its fencing token.
+
+    The fencing token is the pair of `term` and `index`.
+    """
 
     order: str
     version: str
@@ -22,16 +25,16 @@
 
 
 class Loader:
-    """Versions that an engine has loaded.
+    """Keeps the versions that an engine has loaded.
 
     Parameters
     ----------
     versions : tuple of str
-        Loaded at the start.
+        Versions loaded at the start.
     weights : Address or None
-        The weight store; without one a version is there at once.
+        The weight store; without one versions load instantly.
     checks_fencing : bool
-        Whether orders with an old fencing token are refused.
+        Whether orders with an outdated fencing token are refused.
     """
 
     def __init__(
@@ -43,37 +46,39 @@
         self.versions = dict.fromkeys(versions)
         self._weights = weights
         self._checks_fencing = checks_fencing
-        self._newest = (0, 0)
+        self._newest_token = (0, 0)
 
-    def take(self, order: Order) -> Answer:
-        """Carry out an order, or refuse it."""
+    def execute(self, order: Order) -> Response:
+        """Execute an order, or refuse it when its fencing token is outdated."""
         token = (order.term, order.index)
-        if self._checks_fencing and token < self._newest:
-            return make_error(409, f"fencing token {token} is older than newest")
-        self._newest = max(self._newest, token)
+        if self._checks_fencing and token < self._newest_token:
+            return make_error_response(
+                409, f"fencing token {token} is older than {self._newest_token}"
+            )
+        self._newest_token = max(self._newest_token, token)
         match order.order:
             case "load":
                 return self._load(order.version)
             case "unload":
                 self.versions.pop(order.version, None)
-                return make_json({"versions": list(self.versions)})
+                return make_json_response({"versions": list(self.versions)})
             case _:
-                return make_error(400, f"unknown order {order.order}")
+                return make_error_response(400, f"unknown order {order.order}")
 
-    def _load(self, version: str) -> Answer:
-        """Fetch a version's weights unless they are there."""
+    def _load(self, version: str) -> Response:
+        """Load a version unless it is already loaded."""
         if version in self.versions:
-            return make_json({"versions": list(self.versions)})
+            return make_json_response({"versions": list(self.versions)})
         if self._weights is not None and not self._fetch(self._weights, version):
-            return make_error(500, f"weight store did not give {version}")
+            return make_error_response(500, f"could not fetch the weights of {version}")
         self.versions[version] = None
-        return make_json({"versions": list(self.versions)})
+        return make_json_response({"versions": list(self.versions)})
 
     def _fetch(self, store: Address, version: str) -> bool:
-        """Fetch weights, waiting when the store is at its limit."""
+        """Fetch weights, retrying while the store's rate limit is exceeded."""
         client = HTTPClient(store.host, store.port, network_timeout=TIMEOUT_SECONDS)
         try:
-            for _ in range(LOAD_ATTEMPTS):
+            for _ in range(MAX_FETCH_ATTEMPTS):
                 response = client.get(f"/v1/weights/{version}")
                 response.read()
                 if response.status_code != 429:
--- a/packages/fakes/src/bergamotwood_fakes/rating.py
+++ b/packages/fakes/src/bergamotwood_fakes/rating.py
@@ -1,4 +1,4 @@
-"""Stand-in of the rating service: `python -m bergamotwood_fakes.rating`."""
+"""Fake rating service: `python -m bergamotwood_fakes.rating`."""
 
 from random import Random
 
@@ -7,23 +7,23 @@
 from msgspec import DecodeError, Struct, ValidationError, json
 
 from bergamotwood_core.messages import Address
-from bergamotwood_fakes.answer import read_grade
+from bergamotwood_fakes.answer import read_quality
 from bergamotwood_fakes.limit import RateLimit
 from bergamotwood_fakes.option import LISTEN
-from bergamotwood_fakes.process import run_plain
+from bergamotwood_fakes.process import run_until_stopped
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
-    make_error,
-    make_json,
+    make_error_response,
+    make_json_response,
     make_server,
     read_body,
 )
 
 
 class RatingRequest(Struct):
-    """An answer to be rated."""
+    """A request to rate an answer."""
 
     request: str
     workspace: str
@@ -32,19 +32,19 @@
     answer: str
 
 
-class Rating:
-    """Rates answers by the quality that they carry, with some noise.
+class RatingService:
+    """Rates answers by the quality stated in their text, plus random noise.
 
     Parameters
     ----------
     limit : RateLimit
-        Ratings a second.
+        Limit on ratings.
     seconds : float
-        Time of one rating.
+        Duration of one rating.
     noise : float
         Standard deviation of the score.
     seed : int
-        Of the noise.
+        Seed of the noise.
     """
 
     def __init__(
@@ -55,32 +55,38 @@
         self._noise = noise
         self._random = Random(seed)
 
-    def answer(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
-        """Answer one HTTP request (a WSGI application)."""
+    def handle_request(
+        self, environ: Environ, start_response: StartResponse
+    ) -> list[bytes]:
+        """Handle one HTTP request (a WSGI application)."""
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "POST", "/v1/ratings":
                 return self._rate(environ).send(start_response)
             case _:
-                return make_error(404, "no such path").send(start_response)
+                return make_error_response(404, "no such path").send(start_response)
 
-    def _rate(self, environ: Environ) -> Answer:
+    def _rate(self, environ: Environ) -> Response:
         """Rate one answer."""
         try:
             request = json.decode(read_body(environ), type=RatingRequest)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
-        wait = self._limit.take()
-        if wait:
-            return make_error(429, "limit of ratings", retry_after=wait)
+            return make_error_response(400, str(error))
+        retry_after = self._limit.take()
+        if retry_after:
+            return make_error_response(
+                429, "rating rate limit exceeded", retry_after=retry_after
+            )
         sleep(self._seconds)
-        grade = read_grade(request.answer) or 0.0
-        score = grade + self._random.gauss(0.0, self._noise)
-        return make_json({"score": min(1.0, max(0.0, score))})
+        quality = read_quality(request.answer) or 0.0
+        score = quality + self._random.gauss(0.0, self._noise)
+        return make_json_response({"score": min(1.0, max(0.0, score))})
 
 
 @command()
 @LISTEN
-@option("--rate", type=float, default=20.0, show_default=True, help="A second.")
+@option(
+    "--rate", type=float, default=20.0, show_default=True, help="Ratings per second."
+)
 @option("--burst", type=int, default=20, show_default=True)
 @option("--seconds", type=float, default=0.02, show_default=True)
 @option("--noise", type=float, default=0.05, show_default=True)
@@ -88,9 +94,11 @@
 def main(
     listen: Address, rate: float, burst: int, seconds: float, noise: float, seed: int
 ) -> None:
-    """Run a rating service stand-in until SIGTERM."""
-    rating = Rating(RateLimit(rate, burst), seconds, noise, seed)
-    run_plain(make_server(listen, rating.answer), "rating", "rating")
+    """Run a fake rating service until SIGTERM."""
+    rating_service = RatingService(RateLimit(rate, burst), seconds, noise, seed)
+    run_until_stopped(
+        make_server(listen, rating_service.handle_request), "rating", "rating"
+    )
 
 
 if __name__ == "__main__":
--- a/packages/fakes/src/bergamotwood_fakes/report.py
+++ b/packages/fakes/src/bergamotwood_fakes/report.py
@@ -1,4 +1,4 @@
-"""Report of scenarios: a table and JSON."""
+"""Reports of scenario runs, as a table and as JSON."""
 
 from collections import Counter
 from pathlib import Path
@@ -11,32 +11,32 @@
 from bergamotwood_fakes.runner import Runner
 from bergamotwood_fakes.transcript import Outcome, Transcript
 
-MOST_TROUBLES = 6
-HEAD = (
+MAX_TROUBLES = 6
+HEADER = (
     f"{'scenario':<40}{'sent':>6}{'answ':>6}{'refus':>6}{'unkn':>6}"
     f"{'viol':>6}{'gap s':>7}{'back s':>8}"
 )
 
 
 class Result(Struct):
-    """What a scenario showed.
+    """The result of a scenario run.
 
     Parameters
     ----------
     name : str
-        The scenario.
+        Name of the scenario.
     sent, answered, refused, unknown : int
-        Requests, by their ends.
+        Number of requests in total and by outcome.
     longest_gap : float
-        Seconds without an answer while requests waited.
+        Longest time without an answer while requests were waiting, in seconds.
     back_to_normal : float
-        Seconds from the first fault to the last try that failed.
+        Seconds from the first fault to the last failed attempt.
     violations : list of Violation
-        Promises that did not hold.
+        Violated promises.
     unmet : list of str
-        Expectations that did not hold.
+        Expectations that were not met.
     troubles : list of str
-        Kinds of failed tries and their numbers.
+        The most frequent kinds of failed attempts, with their numbers.
     """
 
     name: str
@@ -52,75 +52,82 @@
 
     @property
     def passed(self) -> bool:
-        """Whether everything held."""
+        """Whether there are neither violations nor unmet expectations."""
         return not self.violations and not self.unmet
 
 
 def make_result(
-    name: str, evidence: Evidence, runners: list[Runner], judge_expectations: bool
+    name: str, evidence: Evidence, runners: list[Runner], include_expectations: bool
 ) -> Result:
-    """Judge the evidence of a scenario.
+    """Check the evidence of a scenario run.
 
     Parameters
     ----------
     name : str
-        For the report.
+        Name for the report.
     evidence : Evidence
-        What was left behind.
+        Evidence of the run.
     runners : list of Runner
-        Who ran it.
-    judge_expectations : bool
-        Whether expectations count; they need not hold of scenarios in pairs.
+        Runners of the scenarios.
+    include_expectations : bool
+        Whether to report unmet expectations; scenarios that run in pairs may miss
+        theirs.
     """
-    sent = evidence.transcripts
-    faults = [one.first_fault for one in runners if one.first_fault is not None]
+    transcripts = evidence.transcripts
+    faults = [
+        runner.first_fault_at for runner in runners if runner.first_fault_at is not None
+    ]
     return Result(
         name=name,
-        sent=len(sent),
-        answered=count_outcomes(sent, Outcome.ANSWERED),
-        refused=count_outcomes(sent, Outcome.REFUSED),
-        unknown=count_outcomes(sent, Outcome.UNKNOWN),
-        longest_gap=measure_gap(sent),
-        back_to_normal=_measure_recovery(sent, min(faults)) if faults else 0.0,
+        sent=len(transcripts),
+        answered=count_outcomes(transcripts, Outcome.ANSWERED),
+        refused=count_outcomes(transcripts, Outcome.REFUSED),
+        unknown=count_outcomes(transcripts, Outcome.UNKNOWN),
+        longest_gap=measure_gap(transcripts),
+        back_to_normal=_measure_recovery(transcripts, min(faults)) if faults else 0.0,
         violations=check_promises(evidence),
-        unmet=[fault for one in runners for fault in one.unmet]
-        if judge_expectations
+        unmet=[fault for runner in runners for fault in runner.unmet]
+        if include_expectations
         else [],
-        troubles=_count_troubles(sent),
+        troubles=_count_troubles(transcripts),
     )
 
 
 def _count_troubles(transcripts: list[Transcript]) -> list[str]:
-    """Count the failed tries by outcome, code and run."""
+    """Count the most frequent kinds of failed attempts."""
     kinds = Counter(
-        f"{one.outcome} {one.status} code {one.code} {one.run or ''} {one.detail[:60]}"
+        f"{attempt.outcome} {attempt.status} code {attempt.code} "
+        f"{attempt.run or ''} {attempt.detail[:60]}"
         for transcript in transcripts
-        for one in transcript.tries
-        if one.outcome is not Outcome.ANSWERED
+        for attempt in transcript.tries
+        if attempt.outcome is not Outcome.ANSWERED
     )
-    return [f"{number} x {kind}" for kind, number in kinds.most_common(MOST_TROUBLES)]
+    return [f"{number} x {kind}" for kind, number in kinds.most_common(MAX_TROUBLES)]
 
 
 def _measure_recovery(transcripts: list[Transcript], fault: float) -> float:
-    """Measure the time from a fault to the last try that failed after it."""
+    """Measure the seconds from a fault to the last failed attempt after it."""
     ends = [
-        one.ended
+        attempt.ended
         for transcript in transcripts
-        for one in transcript.tries
-        if one.outcome is not Outcome.ANSWERED and one.ended > fault
+        for attempt in transcript.tries
+        if attempt.outcome is not Outcome.ANSWERED and attempt.ended > fault
     ]
     return max(ends, default=fault) - fault
 
 
 def format_result(result: Result) -> str:
-    """Format a result as a line of the table, with what went wrong below."""
+    """Format a result as a table row, followed by the failures."""
     line = (
         f"{result.name[:39]:<40}{result.sent:>6}{result.answered:>6}"
         f"{result.refused:>6}{result.unknown:>6}{len(result.violations):>6}"
         f"{result.longest_gap:>7.1f}{result.back_to_normal:>8.1f}"
     )
     details = [
-        *(f"  VIOLATION {one.promise}: {one.detail}" for one in result.violations),
+        *(
+            f"  VIOLATION {violation.promise}: {violation.detail}"
+            for violation in result.violations
+        ),
         *(f"  UNMET {fault}" for fault in result.unmet),
         *(f"  {line}" for line in result.troubles),
     ]
--- a/packages/fakes/src/bergamotwood_fakes/sampler.py
+++ b/packages/fakes/src/bergamotwood_fakes/sampler.py
@@ -1,22 +1,22 @@
-"""Samples what entries say of their configuration, all through a scenario."""
+"""Sampling of the entries' configurations during a scenario."""
 
 import gevent
 
 from bergamotwood_fakes.evidence import Sample
 from bergamotwood_fakes.fleet import Fleet
-from bergamotwood_fakes.member import Member
+from bergamotwood_fakes.managed_process import ManagedProcess
 from bergamotwood_fakes.record import read_clock
 
 INTERVAL_SECONDS = 0.4
 
 
 class Sampler:
-    """Asks each entry for its status in turn.
+    """Samples the status of each entry periodically.
 
     Parameters
     ----------
     fleet : Fleet
-        Whose entries.
+        Fleet of the entries.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -25,21 +25,21 @@
         self.latest: dict[str, dict] = {}
 
     def start(self) -> None:
-        """Begin to sample."""
+        """Start sampling all entries."""
         for entry in self._fleet.entries:
             gevent.spawn(self._run, entry)
 
-    def _run(self, entry: Member) -> None:
-        """Sample one entry for ever."""
+    def _run(self, entry: ManagedProcess) -> None:
+        """Sample one entry periodically while it runs."""
         while True:
             if entry.running:
                 self._sample(entry)
             gevent.sleep(INTERVAL_SECONDS)
 
-    def _sample(self, entry: Member) -> None:
-        """Take one sample; its time is when the question was sent."""
-        asked = read_clock()
-        process = entry.process.pid
+    def _sample(self, entry: ManagedProcess) -> None:
+        """Take one sample, with the time at which the request was sent."""
+        requested_at = read_clock()
+        pid = entry.process.pid
         status = self._fleet.read_status(entry)
         if status is None:
             self.latest.pop(entry.name, None)
@@ -47,9 +47,9 @@
         self.latest[entry.name] = status
         self.samples.append(
             Sample(
-                asked,
+                requested_at,
                 entry.name,
-                process,
+                pid,
                 status["ticket"],
                 status["config_age_seconds"],
                 status["draining"],
--- a/packages/fakes/src/bergamotwood_fakes/scenario.py
+++ b/packages/fakes/src/bergamotwood_fakes/scenario.py
@@ -3,7 +3,7 @@
 from itertools import combinations
 from pathlib import Path
 from signal import SIGTERM
-from sys import exit as leave
+from sys import exit as exit_process
 from tempfile import mkdtemp
 
 from click import Path as PathType
@@ -13,7 +13,7 @@
 
 from bergamotwood_fakes.language import Scenario, load_scenario
 from bergamotwood_fakes.report import (
-    HEAD,
+    HEADER,
     Result,
     format_result,
     make_result,
@@ -25,15 +25,15 @@
 FILE = PathType(path_type=Path, exists=True)
 
 
-def judge_scenarios(scenarios: list[Scenario], folder: Path) -> Result:
-    """Run scenarios side by side on one fleet and judge them.
+def run_and_check_scenarios(scenarios: list[Scenario], folder: Path) -> Result:
+    """Run scenarios concurrently on one fleet and check the results.
 
     Parameters
     ----------
     scenarios : list of Scenario
-        One, whose expectations count, or a pair.
+        One scenario, or a pair; the expectations are checked for one only.
     folder : Path
-        Takes all files, with the evidence.
+        Folder for all files, including the evidence.
     """
     evidence, runners = run_scenarios(scenarios, folder)
     (folder / "evidence.json").write_bytes(json.encode(evidence))
@@ -43,13 +43,13 @@
 
 @command()
 @argument("files", type=FILE, nargs=-1, required=True)
-@option("--pairs", is_flag=True, help="Run each pair of the files side by side.")
-@option("--folder", type=PathType(path_type=Path), help="Keeps logs and evidence.")
-@option("--json", "report", type=PathType(path_type=Path), help="Writes results.")
+@option("--pairs", is_flag=True, help="Run each pair of files concurrently.")
+@option("--folder", type=PathType(path_type=Path), help="Folder for logs and evidence.")
+@option("--json", "report", type=PathType(path_type=Path), help="File for the results.")
 def main(
     files: tuple[Path, ...], pairs: bool, folder: Path | None, report: Path | None
 ) -> None:
-    """Run scenario files and judge the ten promises; exit 1 when one fails."""
+    """Run scenario files and check the ten promises; exit with 1 on a failure."""
     signal_handler(SIGTERM, getcurrent().throw, SystemExit(EXIT_TERMINATED))
     scenarios = [load_scenario(file) for file in files]
     groups = (
@@ -57,18 +57,18 @@
         if pairs
         else [[scenario] for scenario in scenarios]
     )
-    place = folder or Path(mkdtemp(prefix="bergamotwood-"))
-    echo(f"files in {place}")
-    echo(HEAD)
+    base_folder = folder or Path(mkdtemp(prefix="bergamotwood-"))
+    echo(f"files in {base_folder}")
+    echo(HEADER)
     results = []
     for number, group in enumerate(groups, 1):
-        kept = place / f"{number:03}"
-        kept.mkdir(parents=True)
-        results.append(judge_scenarios(group, kept))
+        group_folder = base_folder / f"{number:03}"
+        group_folder.mkdir(parents=True)
+        results.append(run_and_check_scenarios(group, group_folder))
         echo(format_result(results[-1]))
     if report is not None:
         write_results(results, report)
-    leave(0 if all(result.passed for result in results) else 1)
+    exit_process(0 if all(result.passed for result in results) else 1)
 
 
 if __name__ == "__main__":
--- a/packages/fakes/src/bergamotwood_fakes/service.py
+++ b/packages/fakes/src/bergamotwood_fakes/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: `python -m bergamotwood_fakes.service`."""
+"""Fake plain service: `python -m bergamotwood_fakes.service`."""
 
 from pathlib import Path
 from random import Random
@@ -17,32 +17,32 @@
 from bergamotwood_fakes.record import Record
 from bergamotwood_fakes.recorder import Identity, Recorder
 from bergamotwood_fakes.web import (
-    Answer,
     Environ,
+    Response,
     StartResponse,
-    cut_connection,
-    make_error,
-    make_json,
+    close_connection,
+    make_error_response,
+    make_json_response,
     make_server,
     read_body,
 )
 
 
 class BrokenAnswerError(Exception):
-    """A fault that breaks the connection before the answer."""
+    """Injected fault that closes the connection before the answer."""
 
 
 class Service:
-    """A plain service: payments, availability, and an echo for the rest.
+    """Answers payments, availability checks, and an echo for other requests.
 
     Parameters
     ----------
     name : str
-        Of the service.
+        Name of the service.
     seconds : float
-        Time of one request.
+        Duration of one request.
     recorder : Recorder
-        Keeps the record of its runs.
+        Records its runs.
     """
 
     def __init__(self, name: str, seconds: float, recorder: Recorder) -> None:
@@ -52,33 +52,35 @@
         self._faults = Faults()
         self._random = Random(0)
 
-    def answer(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
-        """Answer one HTTP request (a WSGI application)."""
+    def handle_request(
+        self, environ: Environ, start_response: StartResponse
+    ) -> list[bytes]:
+        """Handle one HTTP request (a WSGI application)."""
         if environ["PATH_INFO"] == "/fault":
             return self._set_faults(environ).send(start_response)
         body = read_body(environ)
         if self._random.random() < self._faults.error_rate:
-            return make_error(500, "service error").send(start_response)
-        run = self._recorder.start(environ, body, self._name)
+            return make_error_response(500, "service error").send(start_response)
+        run = self._recorder.record_start(environ, body, self._name)
         try:
             answer = self._run(run)
         except BrokenAnswerError:
-            self._recorder.end(run, 0, False)
-            cut_connection(environ)
+            self._recorder.record_end(run, 0, False)
+            close_connection(environ)
             return []
-        self._recorder.end(run, 1, True)
+        self._recorder.record_end(run, 1, True)
         return answer.send(start_response)
 
-    def _set_faults(self, environ: Environ) -> Answer:
-        """Replace the faults in force."""
+    def _set_faults(self, environ: Environ) -> Response:
+        """Replace the injected faults."""
         try:
             self._faults = json.decode(read_body(environ), type=Faults)
         except (DecodeError, ValidationError) as error:
-            return make_error(400, str(error))
-        return make_json(self._faults)
+            return make_error_response(400, str(error))
+        return make_json_response(self._faults)
 
-    def _run(self, run: Record) -> Answer:
-        """Run a request, with the faults in force."""
+    def _run(self, run: Record) -> Response:
+        """Run a request with the injected faults."""
         sleep(self._seconds + self._faults.extra_latency)
         if self._faults.break_after is not None:
             raise BrokenAnswerError
@@ -86,11 +88,11 @@
         match run.method, run.path.strip("/").split("/")[0]:
             case "POST", "payments" | "licences":
                 receipt = f"{run.endpoint}-{run.incarnation}-{run.run}"
-                return make_json({"receipt": receipt, "body": run.fingerprint})
+                return make_json_response({"receipt": receipt, "body": run.fingerprint})
             case "GET", "availability":
-                return make_json({"available": True, "path": run.path})
+                return make_json_response({"available": True, "path": run.path})
             case _:
-                return make_json({"path": run.path, "body": run.fingerprint})
+                return make_json_response({"path": run.path, "body": run.fingerprint})
 
 
 @command()
@@ -110,17 +112,17 @@
     service: str,
     seconds: float,
 ) -> None:
-    """Run a plain service stand-in until SIGTERM."""
-    who = Identity(EndpointId(identity), make_incarnation())
-    recorder = Recorder(who, records)
-    plain = Service(service, seconds, recorder)
-    server = make_server(listen, plain.answer)
+    """Run a fake plain service until SIGTERM."""
+    endpoint_identity = Identity(EndpointId(identity), make_incarnation())
+    recorder = Recorder(endpoint_identity, records)
+    service_app = Service(service, seconds, recorder)
+    server = make_server(listen, service_app.handle_request)
     address = public or Address(listen.host, server.server_port)
 
     def describe() -> Announcement:
         return Announcement(
-            id=who.id,
-            incarnation=who.incarnation,
+            id=endpoint_identity.id,
+            incarnation=endpoint_identity.incarnation,
             sequence=0,
             address=address,
             data_centre=data_centre,
--- a/packages/fakes/src/bergamotwood_fakes/timeline.py
+++ b/packages/fakes/src/bergamotwood_fakes/timeline.py
@@ -1,23 +1,24 @@
-"""Configurations that could be in force at a time, from the tickets alone."""
+"""Configurations that entries may apply at a time, derived from the tickets."""
 
 from msgspec import Struct, field
 
-from bergamotwood_fakes.evidence import TicketTry
+from bergamotwood_fakes.evidence import TicketSubmission
 
 
-class State(Struct):
-    """Configuration after a ticket, as far as the checks need it.
+class Configuration(Struct):
+    """The part of the configuration after a ticket that the checks need.
 
     Parameters
     ----------
     number : int
-        Ticket that made it.
+        Number of the ticket.
     sent, answered : float
-        When that ticket was first sent, and first known as accepted.
+        Times at which the ticket was first sent and first confirmed as accepted,
+        in seconds since boot.
     allowed : dict of str to frozenset of str
-        Versions and services that a workspace may use.
+        Versions and services that each workspace may use.
     withdrawn : frozenset of str
-        Versions that receive no new work.
+        Versions that must receive no new work.
     """
 
     number: int = 0
@@ -28,54 +29,58 @@
 
 
 class Timeline:
-    """States that accepted tickets made, in their order.
+    """The configurations after each accepted ticket, in order.
 
     Parameters
     ----------
-    tickets : list of TicketTry
-        All that were submitted.
+    tickets : list of TicketSubmission
+        All submitted tickets.
     lag : float
-        Seconds after which an accepted ticket is in force everywhere.
+        Seconds after which all entries apply an accepted ticket.
     """
 
-    def __init__(self, tickets: list[TicketTry], lag: float) -> None:
+    def __init__(self, tickets: list[TicketSubmission], lag: float) -> None:
         self._lag = lag
-        self.states = [State()]
-        accepted = [one for one in tickets if one.accepted]
-        for number in sorted({one.number for one in accepted}):
-            same = [one for one in accepted if one.number == number]
-            self.states.append(_apply(self.states[-1], same))
+        self.configurations = [Configuration()]
+        accepted = [ticket for ticket in tickets if ticket.accepted]
+        for number in sorted({ticket.number for ticket in accepted}):
+            same = [ticket for ticket in accepted if ticket.number == number]
+            self.configurations.append(_apply_ticket(self.configurations[-1], same))
 
-    def find_possible(self, time: float) -> list[State]:
-        """Find the states that an entry may have had in force at a time."""
+    def find_possible(self, time: float) -> list[Configuration]:
+        """Find the configurations that an entry may have applied at a time."""
         newest_settled = 0
-        for place, state in enumerate(self.states):
-            if state.answered + self._lag < time:
-                newest_settled = place
-        possible = self.states[newest_settled:]
-        return [state for state in possible if state.sent <= time]
+        for position, configuration in enumerate(self.configurations):
+            if configuration.answered + self._lag < time:
+                newest_settled = position
+        possible = self.configurations[newest_settled:]
+        return [
+            configuration for configuration in possible if configuration.sent <= time
+        ]
 
 
-def _apply(before: State, tickets: list[TicketTry]) -> State:
-    """Make the state after an accepted ticket."""
+def _apply_ticket(
+    previous: Configuration, tickets: list[TicketSubmission]
+) -> Configuration:
+    """Make the configuration after an accepted ticket."""
     content = tickets[0].content
-    allowed = dict(before.allowed)
+    allowed = dict(previous.allowed)
     for workspace in content.get("workspaces", ()):
         usable = {*workspace.get("versions", ()), *workspace.get("services", ())}
         allowed[workspace["name"]] = frozenset(usable)
     for name in content.get("remove", {}).get("workspaces", ()):
         allowed.pop(name, None)
-    return State(
+    return Configuration(
         number=tickets[0].number,
-        sent=min(one.sent for one in tickets),
-        answered=min(one.answered for one in tickets),
+        sent=min(ticket.sent for ticket in tickets),
+        answered=min(ticket.answered for ticket in tickets),
         allowed=allowed,
-        withdrawn=_find_withdrawn(before.withdrawn, content),
+        withdrawn=_find_withdrawn(previous.withdrawn, content),
     )
 
 
 def _find_withdrawn(before: frozenset[str], content: dict) -> frozenset[str]:
-    """Find the versions that are withdrawn after a ticket."""
+    """Find the withdrawn versions after a ticket."""
     withdrawn = set(before)
     for model in content.get("models", ()):
         for version in model["versions"]:
