--- a/tests/soak/test_relay.py
+++ b/tests/soak/test_relay.py
@@ -37,11 +37,11 @@
     return sock
 
 
-def test_bytes_go_both_ways(relay):
+def test_relay_carries_bytes_in_both_directions(relay):
     assert connect(relay).recv(1) == b"a"
 
 
-def test_a_cut_ends_connections_and_refuses_new_ones(relay):
+def test_cut_closes_open_connections_and_refuses_new_ones(relay):
     sock = connect(relay)
     assert sock.recv(1) == b"a"
     relay.inject(Action.CUT, 60.0)
@@ -51,7 +51,7 @@
             raise ConnectionError
 
 
-def test_a_silence_keeps_connections_and_loses_bytes(relay):
+def test_silence_keeps_connections_open_and_drops_their_bytes(relay):
     sock = connect(relay)
     assert sock.recv(1) == b"a"
     relay.inject(Action.SILENCE, 60.0)
@@ -61,7 +61,7 @@
         sock.recv(1)
 
 
-def test_a_fault_is_lifted_after_its_time(relay):
+def test_fault_ends_after_its_duration(relay):
     relay.inject(Action.CUT, 0.05)
     while True:
         try:
--- a/tests/soak/variants/__init__.py
+++ b/tests/soak/variants/__init__.py
@@ -3,7 +3,7 @@
 from gevent import monkey
 
 
-def run_changed(change):
+def run_patched(change):
     """Run the real program after a change to its modules."""
     monkey.patch_all(ssl=False, subprocess=False)
     change()
--- a/tests/soak/variants/forgets_disk.py
+++ b/tests/soak/variants/forgets_disk.py
@@ -2,7 +2,7 @@
 
 from shutil import rmtree
 
-from soak.variants import run_changed
+from soak.variants import run_patched
 
 
 def change():
@@ -22,4 +22,4 @@
 
 
 if __name__ == "__main__":
-    run_changed(change)
+    run_patched(change)
--- a/tests/soak/variants/keeps_keys.py
+++ b/tests/soak/variants/keeps_keys.py
@@ -1,6 +1,6 @@
 """Honours every key that it has ever known."""
 
-from soak.variants import run_changed
+from soak.variants import run_patched
 
 
 def change():
@@ -9,14 +9,14 @@
     find_workspace = RoutingTable.find_workspace
     known = {}
 
-    def find_ever(self, key):
-        holder = find_workspace(self, key)
-        if holder is not None:
-            known[key] = holder
+    def find_known_workspace(self, key):
+        workspace = find_workspace(self, key)
+        if workspace is not None:
+            known[key] = workspace
         return known.get(key)
 
-    RoutingTable.find_workspace = find_ever
+    RoutingTable.find_workspace = find_known_workspace
 
 
 if __name__ == "__main__":
-    run_changed(change)
+    run_patched(change)
--- a/tests/soak/variants/refuses_falsely.py
+++ b/tests/soak/variants/refuses_falsely.py
@@ -1,6 +1,6 @@
 """Says that a request has not run whenever an endpoint breaks off."""
 
-from soak.variants import run_changed
+from soak.variants import run_patched
 
 
 def change():
@@ -9,14 +9,14 @@
 
     forward = Forwarder._forward
 
-    def forward_falsely(self, call, exchange):
+    def forward_as_refusal(self, call, exchange):
         try:
             forward(self, call, exchange)
         except EndpointError as error:
             raise RefusedError(error.detail, Code.OVERLOADED, retry_after=0.1)
 
-    Forwarder._forward_converting_refusals = forward_falsely
+    Forwarder._forward_converting_refusals = forward_as_refusal
 
 
 if __name__ == "__main__":
-    run_changed(change)
+    run_patched(change)
--- a/tests/soak/variants/repeats_events.py
+++ b/tests/soak/variants/repeats_events.py
@@ -1,15 +1,15 @@
 """Begins a broken stream anew and passes every event on."""
 
-from soak.variants import run_changed
+from soak.variants import run_patched
 
 
 def change():
     from bergamotwood_daemon.gateway import streams
 
-    def forget(event, last):
+    def accept_every_event(event, last):
         return True
 
-    streams._is_after = forget
+    streams._is_after = accept_every_event
     from bergamotwood_platform import dialect, headers
 
     write_endpoint_headers = headers.write_endpoint_headers
@@ -23,4 +23,4 @@
 
 
 if __name__ == "__main__":
-    run_changed(change)
+    run_patched(change)
--- a/tests/soak/variants/sends_twice.py
+++ b/tests/soak/variants/sends_twice.py
@@ -1,6 +1,6 @@
 """Sends every request again after a failure, also one that may run once only."""
 
-from soak.variants import run_changed
+from soak.variants import run_patched
 
 
 def change():
@@ -13,4 +13,4 @@
 
 
 if __name__ == "__main__":
-    run_changed(change)
+    run_patched(change)
