--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -50,7 +50,7 @@
 
 
 def check(attempts=None, runs=None, **changes):
-    """Return the names of the promises that are broken."""
+    """Return the rules that the observations violate."""
     observations = Observations(
         attempts=[make_attempt()] if attempts is None else attempts,
         runs=[make_run()] if runs is None else runs,
--- a/tests/soak/test_relay.py
+++ b/tests/soak/test_relay.py
@@ -11,7 +11,7 @@
 from bergamotwood_fakes.rule import Action
 
 WAIT_SECONDS = 5.0
-# Nothing is to come: a byte needs a thousandth of this.
+# Time in which no byte may arrive; an echo takes a thousandth of it.
 SILENT_SECONDS = 0.3
 
 
--- a/tests/soak/variants/__init__.py
+++ b/tests/soak/variants/__init__.py
@@ -1,10 +1,10 @@
-"""Programs with one fault each, which a soak must catch."""
+"""Programs with one deliberate fault each, which a soak must detect."""
 
 from gevent import monkey
 
 
 def run_patched(change):
-    """Run the real program after a change to its modules."""
+    """Run the real program after `change` has patched its modules."""
     monkey.patch_all(ssl=False, subprocess=False)
     change()
     from bergamotwood_platform.__main__ import main
--- a/tests/soak/variants/forgets_disk.py
+++ b/tests/soak/variants/forgets_disk.py
@@ -1,4 +1,4 @@
-"""Starts with an empty disk each time."""
+"""Empties the data folder at each start, except when it forms the group."""
 
 from shutil import rmtree
 
--- a/tests/soak/variants/keeps_keys.py
+++ b/tests/soak/variants/keeps_keys.py
@@ -1,4 +1,4 @@
-"""Honours every key that it has ever known."""
+"""Accepts each key for good once it has accepted it."""
 
 from soak.variants import run_patched
 
--- a/tests/soak/variants/refuses_falsely.py
+++ b/tests/soak/variants/refuses_falsely.py
@@ -1,4 +1,4 @@
-"""Says that a request has not run whenever an endpoint breaks off."""
+"""Reports a request as not run whenever its endpoint fails."""
 
 from soak.variants import run_patched
 
--- a/tests/soak/variants/repeats_events.py
+++ b/tests/soak/variants/repeats_events.py
@@ -1,4 +1,4 @@
-"""Begins a broken stream anew and passes every event on."""
+"""Restarts a broken stream from its first event and forwards every event again."""
 
 from soak.variants import run_patched
 
--- a/tests/soak/variants/sends_twice.py
+++ b/tests/soak/variants/sends_twice.py
@@ -1,4 +1,4 @@
-"""Sends every request again after a failure, also one that may run once only."""
+"""Retries every failed request, also one that must not run twice."""
 
 from soak.variants import run_patched
 
