--- a/Makefile
+++ b/Makefile
@@ -55,7 +55,7 @@
 SOAK := $(PY) -m bergamotwood_soak
 SEEDS := 5
 FIRST := $(shell date +%s)
-# Seeds that failed once; docs/SOAK.md has a line on each.
+# Regression seeds: each failed once. docs/SOAK.md has a line on each.
 SOAK_CASES := 1 213
 
 soak: setup
