--- a/tests/soak/variants/forgets_disk.py
+++ b/tests/soak/variants/forgets_disk.py
@@ -1,8 +1,8 @@
-"""Starts with an empty disk each time."""
+"""Empties the data folder at each start, except when it forms the group."""
 
 from shutil import rmtree
 
-from soak.variants import run_changed
+from soak.variants import run_patched
 
 
 def change():
@@ -22,4 +22,4 @@
 
 
 if __name__ == "__main__":
-    run_changed(change)
+    run_patched(change)
