--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -207,7 +207,7 @@
         self.started_at = play.agenda.now
         expected = self.events * play.site.engine.event_tokens
         self.call = Call(
-            terms=RequestMetadata(
+            metadata=RequestMetadata(
                 request=RequestId(f"q{number}"),
                 leaves_model_open=True,
                 prompt_tokens=tokens + own,
@@ -246,11 +246,11 @@
         self.sent_at = now
         endpoint = candidate.heartbeat.endpoint
         reading = entry.placement.estimate_prefill(candidate, call)
-        entry.loads.add_request(endpoint, call.terms.request, reading)
+        entry.loads.add_request(endpoint, call.metadata.request, reading)
         entry.placement.record_send(candidate, call)
         self.engine = play.engines[endpoint]
         self.generation = Generation(
-            call.model, call.terms.prompt, self.events, self._take_event
+            call.model, call.metadata.prompt, self.events, self._take_event
         )
         generation = self.generation
         play.agenda.add(TRIP_SECONDS, lambda: self.engine.submit(generation))
@@ -274,7 +274,7 @@
     def _begin(self, now: Seconds) -> None:
         entry, call = self.entry, self.call
         endpoint = self.candidate.heartbeat.endpoint
-        entry.loads.mark_prefilled(endpoint, call.terms.request)
+        entry.loads.mark_prefilled(endpoint, call.metadata.request)
         entry.placement.record_answer_start(self.candidate, call, now - self.sent_at)
         self.head_seconds = now - self.sent_at
         larger = choose_next_model(
@@ -286,7 +286,7 @@
         )
         if larger is not None:
             self.engine.cancel(self.generation)
-            entry.loads.remove_request(endpoint, call.terms.request)
+            entry.loads.remove_request(endpoint, call.metadata.request)
             call.model = larger
             call.tried.append(endpoint)
             self.send()
@@ -302,18 +302,18 @@
     def _has_time(self, model: ModelName, now: Seconds) -> bool:
         call = self.call
         seconds = self.entry.pace.estimate(
-            call.route.name, model, call.terms.expected_tokens
+            call.route.name, model, call.metadata.expected_tokens
         )
         return can_finish_in_time(seconds, call.deadline - now)
 
     def _end(self, now: Seconds) -> None:
         entry, call = self.entry, self.call
         entry.loads.remove_request(
-            self.candidate.heartbeat.endpoint, call.terms.request
+            self.candidate.heartbeat.endpoint, call.metadata.request
         )
         timing = Timing(self.head_seconds, now - self.sent_at, self.events)
         entry.pace.record(
-            call.route.name, call.model, timing, call.terms.expected_tokens
+            call.route.name, call.model, timing, call.metadata.expected_tokens
         )
         is_good = self.hardness < QUALITY[call.model]
         self._count("late" if self.is_late else "in time", is_good)
@@ -323,7 +323,7 @@
             return
         self.engine.cancel(generation)
         self.entry.loads.remove_request(
-            self.candidate.heartbeat.endpoint, self.call.terms.request
+            self.candidate.heartbeat.endpoint, self.call.metadata.request
         )
         self._count("failed", is_good=False)
 
--- a/benchmarks/generation.py
+++ b/benchmarks/generation.py
@@ -28,7 +28,7 @@
     """Describe an endpoint for a choice that knows nothing of cached prompts."""
     health = entry.health.find(beat.endpoint, beat.incarnation)
     load = entry.loads.find(beat.endpoint)
-    return Candidate(beat, health, load, call.terms.prompt_tokens)
+    return Candidate(beat, health, load, call.metadata.prompt_tokens)
 
 
 def choose_least(
--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -124,7 +124,7 @@
 
     Parameters
     ----------
-    terms : RequestMetadata
+    metadata : RequestMetadata
         Metadata that the caller sent.
     route : ServiceRoute
         Route that matches the request.
@@ -150,7 +150,7 @@
         Timing of the answer that was delivered to the caller.
     """
 
-    terms: RequestMetadata
+    metadata: RequestMetadata
     route: ServiceRoute
     holder: GatewayWorkspace | None
     service: ServiceName
--- a/packages/core/src/bergamotwood_core/gateway/placement.py
+++ b/packages/core/src/bergamotwood_core/gateway/placement.py
@@ -127,7 +127,7 @@
         preferred = find_preferred_endpoint(
             [heartbeat for heartbeat, _ in eligible], call
         )
-        shared = call.terms.prompt[:-1]
+        shared = call.metadata.prompt[:-1]
         tokens = sum(part.tokens for part in shared)
         candidates = [
             self._make_candidate(
@@ -155,7 +155,7 @@
         """Record that a prompt was sent to an endpoint, which caches it."""
         heartbeat = candidate.heartbeat
         self.prefix_cache.record(
-            heartbeat.endpoint, heartbeat.incarnation, call.model, call.terms.prompt
+            heartbeat.endpoint, heartbeat.incarnation, call.model, call.metadata.prompt
         )
 
     def record_answer_start(
@@ -203,7 +203,7 @@
             heartbeat,
             health,
             load,
-            max(call.terms.prompt_tokens - cached_tokens, 0),
+            max(call.metadata.prompt_tokens - cached_tokens, 0),
             max(shared_tokens - cached_tokens, 0),
             is_guess=assumed > cached,
         )
@@ -211,7 +211,7 @@
     def _estimate_cost(self, candidate: Candidate, call: Call, now: Seconds) -> float:
         heartbeat = candidate.heartbeat
         load = candidate.load
-        if call.terms.prompt_tokens:
+        if call.metadata.prompt_tokens:
             cost = self._estimate_prefill_cost(candidate, call)
         else:
             seconds = candidate.health.seconds or INITIAL_RESPONSE_SECONDS
@@ -248,10 +248,10 @@
 
 def find_affinity_key(call: Call) -> str:
     """Return the id of the longest shared prompt, or else the session."""
-    parts = call.terms.prompt
+    parts = call.metadata.prompt
     if len(parts) > 1:
         return parts[-2].id
-    return call.terms.session
+    return call.metadata.session
 
 
 def find_preferred_endpoint(
--- a/packages/core/src/bergamotwood_core/gateway/retries.py
+++ b/packages/core/src/bergamotwood_core/gateway/retries.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, ratio: float, extra: float, window_seconds: float) -> None:
-        self.instance_count = 1
+        self.entry_count = 1
         self._ratio = ratio
         self._extra = extra
         self._window = window_seconds
@@ -40,19 +40,19 @@
 
     def record_request(self, service: ServiceName, now: Seconds) -> None:
         """Record a request of a caller."""
-        self._count(self._requests, service, now)
+        self._record(self._requests, service, now)
 
     def allows(self, service: ServiceName, now: Seconds) -> bool:
         """Whether another retry is within the budget."""
         requests = self._count_recent(self._requests, service, now)
         retries = self._count_recent(self._retries, service, now)
-        return retries + 1 <= self._ratio * requests + self._extra / self.instance_count
+        return retries + 1 <= self._ratio * requests + self._extra / self.entry_count
 
     def record_retry(self, service: ServiceName, now: Seconds) -> None:
         """Record a retry that is sent."""
-        self._count(self._retries, service, now)
+        self._record(self._retries, service, now)
 
-    def _count(
+    def _record(
         self,
         table: dict[ServiceName, deque[Seconds]],
         service: ServiceName,
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -208,9 +208,9 @@
         request = self._request
         must_be_new = not self._call.route.is_retryable
         self._connection = self._entry.pool.acquire(self.heartbeat.address, must_be_new)
-        terms = self._make_metadata(self._call, self)
+        metadata = self._make_metadata(self._call, self)
         headers = self._entry.dialect.write_forward(
-            strip_connection_fields(request.headers), terms
+            strip_connection_fields(request.headers), metadata
         )
         if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
             headers.append((b"content-length", str(len(request.body)).encode()))
@@ -237,8 +237,8 @@
         return self._entry.placement.is_unresponsive(self.heartbeat, now)
 
     def _check_head(self, head: h11.Response) -> h11.Response | Outcome:
-        terms = self._entry.dialect.read_answer(list(head.headers))
-        if terms.is_not_run or head.status_code == MISDIRECTED_REQUEST:
+        metadata = self._entry.dialect.read_answer(list(head.headers))
+        if metadata.is_not_run or head.status_code == MISDIRECTED_REQUEST:
             self.close()
             result = AttemptResult.FULL
             if head.status_code == MISDIRECTED_REQUEST:
@@ -249,7 +249,7 @@
                 was_sent=True,
             )
         self._call.runs += 1
-        if not terms.is_signed or terms.request != self._call.terms.request:
+        if not metadata.is_signed or metadata.request != self._call.metadata.request:
             return MayHaveRun(
                 "response is unsigned or for another request", AttemptResult.BROKEN
             )
--- a/packages/daemon/src/bergamotwood_daemon/gateway/dialect.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/dialect.py
@@ -25,7 +25,7 @@
         """
         ...
 
-    def write_forward(self, headers: Headers, terms: ForwardMetadata) -> Headers:
+    def write_forward(self, headers: Headers, metadata: ForwardMetadata) -> Headers:
         """Return the header fields of a caller's request to send to an endpoint."""
         ...
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
@@ -116,7 +116,11 @@
         addresses.pop(own_address, None)
         if self.is_ready:
             addresses[own_address] = self.settings.data_centre
-        near = [name for name, at in addresses.items() if at == data_centre]
+        near = [
+            address
+            for address, location in addresses.items()
+            if location == data_centre
+        ]
         return (near or list(addresses))[:MAX_ADDRESSES]
 
     def list_eligible_endpoints(self, call: Call) -> list[list[EndpointHeartbeat]]:
@@ -169,7 +173,7 @@
         is_baseline = not in_rollout or heartbeat.version != view.rollout.target
         if timing is not None and not is_bad and is_baseline:
             self.latencies.record(
-                call.route.name, call.model, timing, call.terms.expected_tokens
+                call.route.name, call.model, timing, call.metadata.expected_tokens
             )
 
     def maintain(self) -> None:
@@ -177,7 +181,7 @@
         self.pool.expire()
         self.health.retain(set(self.control_state.heartbeats))
         self.placement.prefix_cache.retain(set(self.control_state.heartbeats))
-        self.budget.instance_count = max(len(self.control_state.entries), 1)
+        self.budget.entry_count = max(len(self.control_state.entries), 1)
 
     def list_gauges(self) -> dict[str, float]:
         """Return the current values of the gauges for metrics."""
@@ -211,11 +215,13 @@
         )
 
     def _routes_to_target(self, view: RolloutView, call: Call) -> bool:
-        session = call.terms.session
+        session = call.metadata.session
         version = self.sessions.find_version(call.service, session, self.clock())
         uses_other_version = version is not None and version != view.rollout.target
-        is_open = uses_other_version or session in self.control_state.open_sessions
-        return is_on_target(view, session or call.terms.request, is_open)
+        is_on_other_version = (
+            uses_other_version or session in self.control_state.open_sessions
+        )
+        return is_on_target(view, session or call.metadata.request, is_on_other_version)
 
     def _list_open_sessions(self) -> tuple[SessionId, ...]:
         now = self.clock()
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -103,30 +103,30 @@
                 retry_after=DRAINING_RETRY_SECONDS,
             )
         routing = entry.control_state.require_routing()
-        terms = entry.dialect.read_call(request.headers)
+        metadata = entry.dialect.read_call(request.headers)
         route = routing.find_route(request.host, request.path)
         if route is None:
             raise RequestError(
                 f"no route for {request.host}{request.path}", Code.UNKNOWN_PATH
             )
-        holder = self._authorize(routing, route, terms)
-        caller_timeout = terms.patience_seconds or DEFAULT_CALLER_TIMEOUT_SECONDS
+        holder = self._authorize(routing, route, metadata)
+        caller_timeout = metadata.patience_seconds or DEFAULT_CALLER_TIMEOUT_SECONDS
         call = Call(
-            terms=terms,
+            metadata=metadata,
             route=route,
             holder=holder,
-            service=choose_destination(route, terms.session or terms.request),
+            service=choose_destination(route, metadata.session or metadata.request),
             received_at=Seconds(request.received_at),
             deadline=Seconds(
                 request.received_at + min(caller_timeout, route.timeout_seconds)
             ),
             fingerprint=_make_fingerprint(exchange, holder),
-            last_event=terms.last_event,
-            model=terms.model,
+            last_event=metadata.last_event,
+            model=metadata.model,
         )
         self._check_suspension(call)
         entry.budget.record_request(call.service, entry.clock())
-        if terms.leaves_model_open:
+        if metadata.leaves_model_open:
             call.model = self._choose_model(call)
         return call
 
@@ -142,12 +142,12 @@
             )
 
     def _authorize(
-        self, routing: RoutingTable, route: ServiceRoute, terms: RequestMetadata
+        self, routing: RoutingTable, route: ServiceRoute, metadata: RequestMetadata
     ) -> GatewayWorkspace | None:
         if not route.requires_key or not routing.has_workspaces:
             return None
         self._entry.control_state.require_lease()
-        holder = routing.find_workspace(terms.key)
+        holder = routing.find_workspace(metadata.key)
         if holder is None:
             raise AuthorizationError("unknown key")
         return holder
@@ -177,31 +177,31 @@
 
     def _forward(self, call: Call, exchange: Exchange) -> None:
         relay = StreamRelay(self._entry, call, exchange)
-        last: Outcome | None = None
+        last_outcome: Outcome | None = None
         while True:
-            candidate = self._choose_endpoint(call, last, relay)
+            candidate = self._choose_endpoint(call, last_outcome, relay)
             if call.tried:
                 self._entry.budget.record_retry(call.service, self._entry.clock())
             call.tried.append(candidate.heartbeat.endpoint)
             self._record_session(call, candidate)
-            last = self._try_endpoint(call, candidate, exchange, relay)
+            last_outcome = self._try_endpoint(call, candidate, exchange, relay)
             if exchange.is_finished:
                 return
-            if self._may_retry(call, last):
+            if self._may_retry(call, last_outcome):
                 continue
-            self._finish_exchange(call, exchange, last, relay)
+            self._finish_exchange(call, exchange, last_outcome, relay)
             return
 
     def _choose_endpoint(
-        self, call: Call, last: Outcome | None, relay: StreamRelay
+        self, call: Call, last_outcome: Outcome | None, relay: StreamRelay
     ) -> Candidate:
         entry = self._entry
         for heartbeats in entry.list_eligible_endpoints(call):
             chosen = entry.placement.choose(heartbeats, call, entry.clock())
             if chosen is not None:
                 return chosen
-        if last is not None and not isinstance(last, NotRun):
-            self._raise_failure(last)
+        if last_outcome is not None and not isinstance(last_outcome, NotRun):
+            self._raise_failure(last_outcome)
         if relay.has_started:
             raise EndpointError(
                 "no endpoint available to resume the stream", Code.STREAM_BROKEN
@@ -215,10 +215,10 @@
         )
 
     def _record_session(self, call: Call, candidate: Candidate) -> None:
-        if call.terms.session:
+        if call.metadata.session:
             self._entry.sessions.record(
                 call.service,
-                call.terms.session,
+                call.metadata.session,
                 candidate.heartbeat.version,
                 self._entry.clock(),
             )
@@ -233,7 +233,7 @@
         entry = self._entry
         heartbeat = candidate.heartbeat
         started_at = entry.clock()
-        request = call.terms.request
+        request = call.metadata.request
         prefill_seconds = entry.placement.estimate_prefill(candidate, call)
         entry.loads.add_request(heartbeat.endpoint, request, prefill_seconds)
         entry.placement.record_send(candidate, call)
@@ -289,14 +289,14 @@
         self, call: Call, candidate: Candidate, attempt: Attempt
     ) -> None:
         entry = self._entry
-        entry.loads.mark_prefilled(candidate.heartbeat.endpoint, call.terms.request)
+        entry.loads.mark_prefilled(candidate.heartbeat.endpoint, call.metadata.request)
         seconds = attempt.head_at - attempt.started_at
         entry.placement.record_answer_start(candidate, call, seconds)
 
     def _find_larger_model(
         self, call: Call, head: h11.Response, relay: StreamRelay
     ) -> ModelName | None:
-        if not call.terms.leaves_model_open or relay.has_started:
+        if not call.metadata.leaves_model_open or relay.has_started:
             return None
         call.confidence = self._entry.dialect.read_answer(list(head.headers)).confidence
         if call.runs >= call.route.max_attempts:
@@ -315,7 +315,7 @@
     def _has_time(self, call: Call, model: ModelName) -> bool:
         """Whether a model is expected to complete its answer before the deadline."""
         seconds = self._entry.latencies.estimate(
-            call.route.name, model, call.terms.expected_tokens
+            call.route.name, model, call.metadata.expected_tokens
         )
         left = call.deadline - self._entry.clock()
         if can_finish_in_time(seconds, left):
@@ -325,7 +325,7 @@
             "No time for a larger model.",
             **_make_call_fields(call),
             larger=model,
-            expected_tokens=call.terms.expected_tokens,
+            expected_tokens=call.metadata.expected_tokens,
             expected_seconds=round(seconds, 2),
             seconds_left=round(left, 2),
         )
@@ -337,7 +337,7 @@
             endpoint=attempt.heartbeat.endpoint,
             patience_seconds=call.deadline - self._entry.clock(),
             workspace=call.holder.workspace if call.holder else None,
-            model=call.model if call.terms.leaves_model_open else ModelName(""),
+            model=call.model if call.metadata.leaves_model_open else ModelName(""),
             urgency=min(call.urgency, MAX_URGENCY)
             if call.route.kind is RouteKind.STREAMING
             else None,
@@ -350,7 +350,7 @@
             return
         control_state = self._entry.control_state
         control_state.require_lease()
-        if control_state.require_routing().find_workspace(call.terms.key) is None:
+        if control_state.require_routing().find_workspace(call.metadata.key) is None:
             raise AuthorizationError("key was revoked")
 
     def _should_retry_answer(self, call: Call, outcome: Answered) -> bool:
@@ -429,9 +429,9 @@
         )
 
     def _finish_exchange(
-        self, call: Call, exchange: Exchange, last: Outcome, relay: StreamRelay
+        self, call: Call, exchange: Exchange, last_outcome: Outcome, relay: StreamRelay
     ) -> None:
-        match last:
+        match last_outcome:
             case Answered(response):
                 exchange.answer(response)
             case NotRun(reason):
@@ -441,14 +441,14 @@
                     reason, Code.OVERLOADED, retry_after=OVERLOADED_RETRY_SECONDS
                 )
             case _:
-                self._raise_failure(last)
+                self._raise_failure(last_outcome)
 
-    def _raise_failure(self, last: Outcome) -> None:
-        match last:
-            case MayHaveRun(reason) if last.result is AttemptResult.SILENT:
+    def _raise_failure(self, last_outcome: Outcome) -> None:
+        match last_outcome:
+            case MayHaveRun(reason) if last_outcome.result is AttemptResult.SILENT:
                 raise EndpointError(reason, Code.STREAM_SILENT)
             case _:
-                raise EndpointError(last.reason, Code.ENDPOINT_FAILED)
+                raise EndpointError(last_outcome.reason, Code.ENDPOINT_FAILED)
 
     def _log_answer(self, call: Call, exchange: Exchange) -> None:
         log_event(
@@ -458,9 +458,9 @@
             status=exchange.status,
             endpoints=call.tried,
             confidence=call.confidence,
-            session=call.terms.session,
-            prompt_tokens=call.terms.prompt_tokens,
-            output_tokens=call.terms.output_tokens,
+            session=call.metadata.session,
+            prompt_tokens=call.metadata.prompt_tokens,
+            output_tokens=call.metadata.output_tokens,
             subject=find_affinity_key(call),
             **_make_timing_fields(call.timing),
             milliseconds=round(1000 * (self._entry.clock() - call.received_at), 1),
@@ -516,7 +516,7 @@
     if call is None:
         return {}
     return {
-        "request": call.terms.request,
+        "request": call.metadata.request,
         "route": call.route.name,
         "workspace": call.holder.workspace if call.holder else None,
         "service": call.service,
--- a/packages/daemon/src/bergamotwood_daemon/gateway/message.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/message.py
@@ -88,7 +88,7 @@
 
 def strip_connection_fields(headers: Headers) -> Headers:
     """Return the header fields without hop-by-hop and framing fields."""
-    named = {
+    connection_options = {
         token.strip().lower()
         for name, value in headers
         if name == b"connection"
@@ -97,5 +97,5 @@
     return [
         (name, value)
         for name, value in headers
-        if name not in CONNECTION_FIELDS and name not in named
+        if name not in CONNECTION_FIELDS and name not in connection_options
     ]
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -176,9 +176,9 @@
             When no majority confirms it in time.
         """
         configuration = self._dialect.decode_configuration(document)
-        faults = find_configuration_errors(configuration)
-        if faults:
-            raise RequestError("; ".join(faults[:8]), Code.TICKET_INVALID)
+        errors = find_configuration_errors(configuration)
+        if errors:
+            raise RequestError("; ".join(errors[:8]), Code.TICKET_INVALID)
         command = ReplaceConfiguration(
             configuration.number, compress_document(document)
         )
--- a/tests/core/gateway/samples.py
+++ b/tests/core/gateway/samples.py
@@ -52,7 +52,9 @@
 def make_call(route=None, **changes):
     route = route or make_route()
     values = {
-        "terms": RequestMetadata(RequestId("q-1"), patience_seconds=3.0, key="key-1"),
+        "metadata": RequestMetadata(
+            RequestId("q-1"), patience_seconds=3.0, key="key-1"
+        ),
         "route": route,
         "holder": None,
         "service": route.destinations[0].service,
--- a/tests/core/gateway/test_configuration.py
+++ b/tests/core/gateway/test_configuration.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "fault"),
+    ("change", "error"),
     [
         ({"destinations": (Destination(ServiceName("none")),)}, "unknown service"),
         ({"destinations": (Destination(ServiceName("plain"), 0.0),)}, "add up to 0"),
@@ -30,12 +30,12 @@
         ({"path_prefix": "a/"}, "slash"),
     ],
 )
-def test_each_error_names_its_route(change, fault):
+def test_each_error_names_its_route(change, error):
     route = replace(make_route(), **change)
-    faults = find_configuration_errors(make_configuration(routes=(route,)))
-    assert len(faults) == 1
-    assert fault in faults[0]
-    assert route.name in faults[0]
+    errors = find_configuration_errors(make_configuration(routes=(route,)))
+    assert len(errors) == 1
+    assert error in errors[0]
+    assert route.name in errors[0]
 
 
 def test_routes_with_equal_host_and_prefix_are_an_error():
--- a/tests/core/gateway/test_load.py
+++ b/tests/core/gateway/test_load.py
@@ -26,7 +26,7 @@
     assert loads.count_requests() == 0
 
 
-def test_loads_of_other_instances_are_added_and_replaced():
+def test_loads_of_other_entries_are_added_and_replaced():
     loads = LoadTable()
     loads.add_request(E1, Q1, 0.5)
     loads.set_others({E1: EndpointLoad(3, 0.25), E2: EndpointLoad(1, 0.0)})
@@ -36,7 +36,7 @@
     assert loads.find(E1) == EndpointLoad(1, 0.5)
 
 
-def test_sum_excludes_the_report_of_the_receiving_instance():
+def test_sum_excludes_the_report_of_the_receiving_entry():
     total = LoadSum()
     one = {E1: EndpointLoad(1, 0.125)}
     other = {E1: EndpointLoad(2, 0.2), E2: EndpointLoad(1, 0.0)}
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -85,20 +85,20 @@
 def make_prompt_call(shared_id, model="large"):
     route = make_route(destinations=(Destination(MODELS),))
     parts = (PromptPart(shared_id, 13_000), PromptPart("own", 3_000))
-    terms = RequestMetadata(RequestId("q"), prompt_tokens=16_000, prompt=parts)
-    return make_call(route, terms=terms, model=ModelName(model))
+    metadata = RequestMetadata(RequestId("q"), prompt_tokens=16_000, prompt=parts)
+    return make_call(route, metadata=metadata, model=ModelName(model))
 
 
 def make_engines():
     return [make_heartbeat(f"e{at}", service=MODELS, slots=64) for at in range(9)]
 
 
-def test_all_instances_prefer_one_engine_per_shared_prompt_until_it_is_loaded():
+def test_all_entries_prefer_one_engine_per_shared_prompt_until_it_is_loaded():
     heartbeats = make_engines()
     preferred = {
         shared_id: {
-            choose(heartbeats, make_prompt_call(shared_id), seed=instance)
-            for instance in range(9)
+            choose(heartbeats, make_prompt_call(shared_id), seed=entry)
+            for entry in range(9)
         }
         for shared_id in "abcdefgh"
     }
@@ -127,8 +127,8 @@
     route = make_route(destinations=(Destination(MODELS),))
     tokens = int(seconds / INITIAL_SECONDS_PER_TOKEN)
     parts = (PromptPart("own", tokens),)
-    terms = RequestMetadata(RequestId("q"), prompt_tokens=tokens, prompt=parts)
-    return make_call(route, terms=terms, model=ModelName("large"))
+    metadata = RequestMetadata(RequestId("q"), prompt_tokens=tokens, prompt=parts)
+    return make_call(route, metadata=metadata, model=ModelName("large"))
 
 
 def simulate_burst(choose_next, seed):
--- a/tests/core/gateway/test_retries.py
+++ b/tests/core/gateway/test_retries.py
@@ -30,13 +30,13 @@
     assert not may_retry(late, has_run=True, now=Seconds(2.99))
 
 
-def test_all_instances_together_stay_within_the_fleet_budget_in_every_window():
+def test_all_entries_together_stay_within_the_fleet_budget_in_every_window():
     budgets = [RetryBudget(0.5, 30.0, 10.0) for _ in range(5)]
     requests, retries = [], []
     for step in range(600):
         now = Seconds(step * 0.1)
         for budget in budgets:
-            budget.instance_count = len(budgets)
+            budget.entry_count = len(budgets)
             if 200 <= step < 300:
                 budget.record_request(PLAIN, now)
                 requests.append(now)
--- a/tests/core/gateway/test_rollout.py
+++ b/tests/core/gateway/test_rollout.py
@@ -148,7 +148,7 @@
     assert choose_outcome(ROLLOUT, 19.0, None, 1.0, 3) is RolloutOutcome.COMPLETED
 
 
-def test_evidence_of_all_instances_is_summed():
+def test_evidence_of_all_entries_is_summed():
     one = (VersionEvidence(SERVICE, "v2", "r", 3, 1),)
     other = (VersionEvidence(SERVICE, "v2", "r", 2, 0),)
     assert merge_evidence([one, other]) == [VersionEvidence(SERVICE, "v2", "r", 5, 1)]
--- a/tests/core/gateway/test_suspects.py
+++ b/tests/core/gateway/test_suspects.py
@@ -42,7 +42,7 @@
         )
 
 
-def test_success_at_one_instance_clears_the_request_at_all_instances():
+def test_success_at_one_entry_clears_the_request_at_all_entries():
     """Guards against suspending equal requests of many callers that fail by chance."""
     tables = [SuspectTable() for _ in range(3)]
     record_crash(tables[0], "a", 1.0)
@@ -61,7 +61,7 @@
     assert all(table.compute_suspension(BAD, Seconds(8.0)) > 0.0 for table in tables)
 
 
-def test_crashes_at_several_instances_are_combined():
+def test_crashes_at_several_entries_are_combined():
     tables = [SuspectTable() for _ in range(3)]
     record_crash(tables[1], "e1", 10.0)
     record_crash(tables[2], "e2", 10.0)
--- a/tests/daemon/gateway/harness.py
+++ b/tests/daemon/gateway/harness.py
@@ -53,17 +53,17 @@
     def read_id(self, headers):
         return RequestId(find_field(headers, b"id") or "")
 
-    def write_forward(self, headers, terms):
+    def write_forward(self, headers, metadata):
         dropped = (b"key", b"patience", b"last", b"workspace", b"model")
         kept = [item for item in headers if item[0] not in dropped]
-        kept.append((b"endpoint", terms.endpoint.encode()))
-        kept.append((b"patience", f"{terms.patience_seconds:.3f}".encode()))
-        if terms.workspace:
-            kept.append((b"workspace", terms.workspace.encode()))
-        if terms.last_event:
-            kept.append((b"last", terms.last_event.encode()))
-        if terms.model:
-            kept.append((b"model", terms.model.encode()))
+        kept.append((b"endpoint", metadata.endpoint.encode()))
+        kept.append((b"patience", f"{metadata.patience_seconds:.3f}".encode()))
+        if metadata.workspace:
+            kept.append((b"workspace", metadata.workspace.encode()))
+        if metadata.last_event:
+            kept.append((b"last", metadata.last_event.encode()))
+        if metadata.model:
+            kept.append((b"model", metadata.model.encode()))
         return kept
 
     def read_answer(self, headers):
--- a/tests/daemon/gateway/test_rollouts.py
+++ b/tests/daemon/gateway/test_rollouts.py
@@ -29,33 +29,33 @@
         return super().list_live()
 
 
-def make_control():
+def make_controller():
     now = [Seconds(5.0)]
     machine = GatewayStateMachine()
     machine.state.rollouts[MODELS] = RUNNING
     entries = CountingTable(lambda: now[0])
     directory = EndpointDirectory(30.0)
-    control = RolloutController(machine, directory, entries, lambda: now[0])
-    return control, machine, entries, now
+    controller = RolloutController(machine, directory, entries, lambda: now[0])
+    return controller, machine, entries, now
 
 
 def test_evidence_is_merged_once_for_entries_that_poll_together():
     """Guards against a merge for every poll: entries poll several times a second."""
-    control, _, entries, now = make_control()
-    views = [control.list_views() for _ in range(100)]
+    controller, _, entries, now = make_controller()
+    views = [controller.list_views() for _ in range(100)]
     assert {view[0].rollout for view in views} == {RUNNING}
     assert entries.collected == 1
     now[0] += VIEW_CACHE_SECONDS + 0.01
-    control.list_views()
+    controller.list_views()
     assert entries.collected == 2
 
 
 def test_a_settled_rollout_bypasses_the_view_cache():
-    control, machine, _, _ = make_control()
-    control.list_views()
+    controller, machine, _, _ = make_controller()
+    controller.list_views()
     ended = replace(RUNNING, outcome=RolloutOutcome.ROLLED_BACK)
     machine.state.rollouts[MODELS] = ended
-    (view,) = control.list_views()
+    (view,) = controller.list_views()
     assert (view.rollout, view.share) == (ended, 0.0)
     del machine.state.rollouts[MODELS]
-    assert control.list_views() == ()
+    assert controller.list_views() == ()
