--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -215,16 +215,17 @@
 
 def test_unresponsive_endpoint_is_avoided_but_not_one_with_recent_traffic():
     health = HealthTable()
-    heartbeats = [make_heartbeat("dark"), make_heartbeat("cut")]
+    heartbeats = [make_heartbeat("unresponsive"), make_heartbeat("answering")]
     placement = make_placement(health)
-    placement.silent = frozenset(("dark", "cut"))
+    placement.silent = frozenset(("unresponsive", "answering"))
     now = Seconds(50.0)
-    health.record_traffic("cut", 1, Seconds(49.5))
+    health.record_traffic("answering", 1, Seconds(49.5))
     chosen = {
         placement.choose(heartbeats, make_call(), now).heartbeat.endpoint
         for _ in range(9)
     }
-    assert chosen == {"cut"}
+    assert chosen == {"answering"}
     assert (
-        placement.choose(heartbeats[:1], make_call(), now).heartbeat.endpoint == "dark"
+        placement.choose(heartbeats[:1], make_call(), now).heartbeat.endpoint
+        == "unresponsive"
     )
--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -164,7 +164,7 @@
         "short",
     ],
 )
-def test_a_repeatable_request_is_retried_after_a_faulty_response(make_harness, fail):
+def test_a_retryable_request_is_retried_after_a_faulty_response(make_harness, fail):
     seen = []
 
     def act(arrival):
@@ -218,7 +218,7 @@
     assert len(harness.list_arrivals()) == 1
 
 
-def test_only_repeatable_requests_reuse_connections(make_harness):
+def test_only_retryable_requests_reuse_connections(make_harness):
     harness = make_harness(one=answer)
     caller = harness.connect()
     for at in range(3):
