--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -120,7 +120,7 @@
 
 
 class Call(Struct):
-    """State of a request while a router instance processes it.
+    """State of a request while an entry processes it.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/gateway/endpoints.py
+++ b/packages/core/src/bergamotwood_core/gateway/endpoints.py
@@ -71,7 +71,7 @@
     Attributes
     ----------
     version : int
-        Increases with each change that router instances need to know.
+        Increases with each change that entries need to know.
     """
 
     def __init__(self, expiry_seconds: float) -> None:
@@ -155,7 +155,7 @@
 
 
 def _has_changed(heartbeat: EndpointHeartbeat, known: EndpointHeartbeat) -> bool:
-    """Whether a heartbeat changes anything besides the time of the last one."""
+    """Whether a heartbeat reports a change that entries need to know."""
     return (
         heartbeat.incarnation != known.incarnation
         or heartbeat.service != known.service
--- a/packages/core/src/bergamotwood_core/gateway/health.py
+++ b/packages/core/src/bergamotwood_core/gateway/health.py
@@ -1,4 +1,4 @@
-"""Health of endpoints, observed passively from the traffic of this instance."""
+"""Health of endpoints, observed passively from the traffic of this entry."""
 
 from enum import StrEnum
 
@@ -18,8 +18,8 @@
 # cover about the last ten results.
 SMOOTHING_FACTOR = 0.1
 # Time without received data after which an endpoint with missing heartbeats is
-# unresponsive. While it still answers requests, only its connection to the control
-# group has failed.
+# unresponsive. An endpoint that still sends data may only have lost its connection to
+# the control group.
 MAX_TRAFFIC_GAP_SECONDS = 1.5
 # Failure rate above which an endpoint is considered failing. Healthy services fail
 # up to one request in seven.
@@ -27,7 +27,25 @@
 
 
 class AttemptResult(StrEnum):
-    """Result of an attempt at an endpoint."""
+    """Result of an attempt at an endpoint.
+
+    Attributes
+    ----------
+    OK
+        The endpoint sent a valid response without a server error.
+    UNREACHABLE
+        No connection could be opened.
+    REPLACED
+        Another endpoint has answered at the address.
+    FULL
+        The endpoint refused the request without executing it.
+    ERROR
+        The endpoint sent a complete response with a server error.
+    BROKEN
+        The connection broke, or the response was invalid.
+    SILENT
+        The endpoint sent nothing in time.
+    """
 
     OK = "ok"
     UNREACHABLE = "unreachable"
@@ -39,7 +57,7 @@
 
 
 class EndpointHealth(Struct):
-    """Health of one incarnation of an endpoint, as observed by this instance.
+    """Health of one incarnation of an endpoint, as observed by this entry.
 
     Parameters
     ----------
@@ -69,7 +87,7 @@
 
 
 class HealthTable:
-    """Health of all endpoints that this instance has used."""
+    """Health of all endpoints that this entry has used."""
 
     def __init__(self) -> None:
         self._health: dict[EndpointId, EndpointHealth] = {}
@@ -113,7 +131,7 @@
         ----------
         endpoint, incarnation : EndpointId, Incarnation
             Endpoint that the request was sent to.
-        result : Result
+        result : AttemptResult
             Result of the attempt.
         seconds : float
             Duration of the attempt.
--- a/packages/core/src/bergamotwood_core/gateway/load.py
+++ b/packages/core/src/bergamotwood_core/gateway/load.py
@@ -1,4 +1,4 @@
-"""Load on endpoints: requests sent by this instance and reports of other instances."""
+"""Load on endpoints: requests sent by this entry and reports of other entries."""
 
 from msgspec import Struct
 
@@ -27,10 +27,10 @@
 
 
 class LoadSum:
-    """Sum of the loads reported by all instances, updated incrementally.
+    """Sum of the loads reported by all entries, updated incrementally.
 
-    Each instance receives this sum instead of the reports of all others, which keeps
-    messages small with many instances. The sum is stored as integers in units of the
+    Each entry receives this sum instead of the reports of all others, which keeps
+    messages small with many entries. The sum is stored as integers in units of the
     last decimal, so that subtracting a report leaves no rounding error.
     """
 
@@ -38,7 +38,7 @@
         self._sums: dict[EndpointId, tuple[int, int]] = {}
 
     def add(self, loads: dict[EndpointId, EndpointLoad]) -> None:
-        """Add the report of one instance."""
+        """Add the report of one entry."""
         self._change(loads, 1)
 
     def subtract(self, loads: dict[EndpointId, EndpointLoad]) -> None:
@@ -74,7 +74,7 @@
 
 
 class LoadTable:
-    """Open requests of this instance at each endpoint."""
+    """Open requests of this entry at each endpoint, and the load from other entries."""
 
     def __init__(self) -> None:
         self._own: dict[EndpointId, dict[RequestId, float]] = {}
@@ -99,11 +99,11 @@
             self._own.pop(endpoint, None)
 
     def set_others(self, loads: dict[EndpointId, EndpointLoad]) -> None:
-        """Replace the summed load of all other instances."""
+        """Replace the summed load of all other entries."""
         self._others = loads
 
     def list_own(self) -> dict[EndpointId, EndpointLoad]:
-        """Return the load that this instance puts on each endpoint."""
+        """Return the load that this entry puts on each endpoint."""
         return {
             endpoint: EndpointLoad(
                 len(requests), round(sum(requests.values()), REPORT_DECIMALS)
@@ -112,13 +112,13 @@
         }
 
     def find(self, endpoint: EndpointId) -> EndpointLoad:
-        """Return the load on an endpoint from this instance and all others."""
+        """Return the load on an endpoint from this entry and all others."""
         requests = self._own.get(endpoint, {})
         own = EndpointLoad(len(requests), sum(requests.values()))
         return add_loads(own, self._others.get(endpoint, NO_LOAD))
 
     def count_requests(self) -> int:
-        """Return the number of open requests of this instance."""
+        """Return the number of open requests of this entry."""
         return sum(len(requests) for requests in self._own.values())
 
 
--- a/packages/core/src/bergamotwood_core/gateway/placement.py
+++ b/packages/core/src/bergamotwood_core/gateway/placement.py
@@ -34,7 +34,7 @@
 # Cost of an endpoint that is still warming up.
 WARMUP_COST_SECONDS = 0.2
 # Fraction of the shared prompt that is assumed to be cached at the preferred endpoint,
-# because all instances send it there.
+# because all entries send it there.
 PREFERRED_CACHED_FRACTION = 0.95
 # Additional cost of the prefill of shared tokens that are not cached, as a multiple of
 # its duration: meanwhile the engine generates no tokens for other requests, and the
@@ -51,8 +51,8 @@
 OPEN_REQUEST_COST_SECONDS = 0.003
 # Response time that is assumed before the first response to a request without prompt.
 INITIAL_RESPONSE_SECONDS = 0.05
-# Maximum relative jitter of costs. It prevents instances with equal information from
-# all choosing the same endpoint.
+# Maximum relative jitter of costs. It prevents entries with equal information from all
+# choosing the same endpoint.
 COST_JITTER = 0.1
 
 
@@ -64,15 +64,15 @@
     heartbeat : EndpointHeartbeat
         Latest heartbeat of the endpoint.
     health : EndpointHealth
-        Health observed by this instance.
+        Health observed by this entry.
     load : EndpointLoad
-        Load from all instances.
+        Load from all entries.
     uncached_tokens : int
         Tokens of the prompt that probably need prefill.
     uncached_shared_tokens : int
         Those of them that are shared with other requests.
     is_guess : bool
-        Whether the cached tokens are only assumed because all instances prefer the
+        Whether the cached tokens are only assumed because all entries prefer the
         endpoint.
     """
 
@@ -85,12 +85,12 @@
 
 
 class Placement:
-    """Chooses endpoints for the requests of one router instance.
+    """Chooses endpoints for the requests of one entry.
 
     Parameters
     ----------
     data_centre : DataCentre
-        Data centre of the instance.
+        Data centre of the entry.
     health : HealthTable
         Health of the endpoints.
     find_load : callable
@@ -142,7 +142,7 @@
         )
 
     def is_unresponsive(self, heartbeat: EndpointHeartbeat, now: Seconds) -> bool:
-        """Whether an endpoint sends neither heartbeats nor answers to this instance."""
+        """Whether an endpoint sends neither heartbeats nor answers to this entry."""
         return heartbeat.endpoint in self.silent and self._health.is_unresponsive(
             heartbeat.endpoint, heartbeat.incarnation, now
         )
@@ -257,9 +257,9 @@
 def find_preferred_endpoint(
     heartbeats: list[EndpointHeartbeat], call: Call
 ) -> EndpointHeartbeat | None:
-    """Return the endpoint that all instances prefer for a request's affinity key.
+    """Return the endpoint that all entries prefer for a request's affinity key.
 
-    Uses rendezvous hashing: all instances make the same choice without coordination,
+    Uses rendezvous hashing: all entries make the same choice without coordination,
     and few keys move when an endpoint is added or removed.
     """
     affinity_key = find_affinity_key(call)
--- a/packages/core/src/bergamotwood_core/gateway/prefill.py
+++ b/packages/core/src/bergamotwood_core/gateway/prefill.py
@@ -1,4 +1,4 @@
-"""Estimates of prefill time and cached prompts, from the traffic of this instance."""
+"""Estimates of prefill time and cached prompts, from the traffic of this entry."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable
@@ -42,7 +42,7 @@
 class PrefixCacheIndex:
     """Index of the prompt parts that are probably cached at each endpoint.
 
-    Contains the parts that this instance has sent, by model. The least recently used
+    Contains the parts that this entry has sent, by model. The least recently used
     ones are evicted, as in the engines.
     """
 
--- a/packages/core/src/bergamotwood_core/gateway/retries.py
+++ b/packages/core/src/bergamotwood_core/gateway/retries.py
@@ -6,19 +6,20 @@
 from bergamotwood_core.gateway.call import Call
 from bergamotwood_core.ids import ServiceName
 
-# Additional sends of one request, for endpoints that refuse it without executing it.
+# Sends of one request beyond the route's `max_attempts`, because endpoints may refuse
+# it without executing it.
 MAX_REFUSED_SENDS = 2
 # Minimum time before the deadline for a retry to be worthwhile.
 MIN_RETRY_SECONDS = 0.05
 
 
 class RetryBudget:
-    """Limit on the retries that one instance may send to each service.
+    """Limit on the retries that one entry may send to each service.
 
     The fleet's budget in a sliding window is a fraction of the requests plus a fixed
-    number. Each instance applies the fraction to its own requests and uses an equal
-    share of the fixed number, so that all instances together stay within the
-    fleet's budget without coordination.
+    number. Each entry applies the fraction to its own requests and uses an equal
+    share of the fixed number, so that all entries together stay within the fleet's
+    budget without coordination.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/gateway/rollout.py
+++ b/packages/core/src/bergamotwood_core/gateway/rollout.py
@@ -17,7 +17,7 @@
 
 # Fraction of the roll-out's time at which each stage starts, and the share of sessions
 # on the new version from then on. The time before the first stage allows endpoints to
-# start and instances to exchange their open sessions. The other stages start after
+# start and entries to exchange their open sessions. The other stages start after
 # open sessions may move.
 STAGES = ((0.1, 0.08), (0.52, 0.2), (0.7, 0.5), (0.76, 1.0))
 FIRST_SHARE = STAGES[0][1]
@@ -27,6 +27,7 @@
 # committed and read before the deadline.
 END_FRACTION = 0.93
 # Minimum number of finished requests on the new version for the last two stages.
+# Shortly before the end, these stages start without it.
 MIN_EVIDENCE_TRIALS = 12
 # Maximum probability that a good version is ever judged to be bad.
 FALSE_STOP_RATE = 0.005
@@ -67,7 +68,7 @@
 
 
 class RolloutView(Struct, frozen=True, array_like=True):
-    """State of a roll-out as sent to router instances.
+    """State of a roll-out as sent to entries.
 
     Parameters
     ----------
@@ -148,7 +149,13 @@
 
 
 class RegressionDetector:
-    """Sequential test for a route on which the new version is worse."""
+    """Sequential test for a route on which the new version is worse.
+
+    A test starts every `TEST_PERIOD_SECONDS`. Each one bets that the rate of bad
+    answers exceeds the rate of the previous version plus `TOLERATED_RATE`. The new
+    version is bad if the mean capital of all tests on a route reaches the number of
+    routes divided by `FALSE_STOP_RATE`.
+    """
 
     def __init__(self) -> None:
         self._test_starts: list[tuple[Seconds, dict[str, tuple[int, int]]]] = []
@@ -219,7 +226,7 @@
 def merge_evidence(
     reports: Iterable[Iterable[VersionEvidence]],
 ) -> list[VersionEvidence]:
-    """Return the summed evidence of all instances."""
+    """Return the summed evidence of all entries."""
     totals: dict[tuple[ServiceName, str, str], tuple[int, int]] = {}
     for report in reports:
         for item in report:
@@ -230,7 +237,7 @@
 
 
 class SessionVersions:
-    """Versions of the sessions that are open at this instance.
+    """Versions of the sessions that are open at this entry.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/gateway/routing.py
+++ b/packages/core/src/bergamotwood_core/gateway/routing.py
@@ -82,11 +82,12 @@
         point -= destination.weight
         if point < 0.0:
             return destination.service
+    # Rounding errors may leave a remainder after the last weight.
     positive = [item for item in route.destinations if item.weight > 0.0]
     return positive[-1].service
 
 
 def hash_to_unit_interval(text: str) -> float:
-    """Return a hash in [0, 1) that is the same on all instances."""
+    """Return a hash in [0, 1) that is the same at all entries."""
     digest = sha256(text.encode("utf-8", "surrogateescape")).digest()
     return int.from_bytes(digest[: HASH_BITS // 8]) / 2**HASH_BITS
--- a/packages/core/src/bergamotwood_core/gateway/suspects.py
+++ b/packages/core/src/bergamotwood_core/gateway/suspects.py
@@ -1,7 +1,7 @@
 """Detection of requests that crash the endpoints that execute them.
 
-A caller may resend such a request through any instance, and each attempt takes down an
-engine. After a few crashes, all instances refuse the request for some time.
+A caller may resend such a request through any entry, and each attempt takes down an
+engine. After a few crashes, all entries refuse the request for some time.
 """
 
 from collections.abc import Iterable
@@ -13,12 +13,12 @@
 
 NEVER = Seconds(float("-inf"))
 # Number of endpoints that a request must have crashed without a success in between, at
-# all instances together. Two may be a coincidence while endpoints crash for another
+# all entries together. Two may be a coincidence while endpoints crash for another
 # reason.
 MIN_SUSPECT_CRASHES = 3
 # Time for which a crash is kept, and thus the maximum suspension.
 CRASH_RETENTION_SECONDS = 30.0
-# Crashes kept by one instance; more indicate endpoints that fail for other reasons.
+# Crashes kept by one entry; more indicate endpoints that fail for other reasons.
 MAX_CRASHES = 64
 
 
@@ -57,7 +57,7 @@
 
 
 class SuspectTable:
-    """Crashes observed by this instance and reported by other instances."""
+    """Crashes observed by this entry and reported by other entries."""
 
     def __init__(self) -> None:
         self._own: list[tuple[Crash, Seconds]] = []
@@ -84,7 +84,7 @@
     def apply_reports(
         self, crashes: Iterable[Crash], successes: Iterable[Success], now: Seconds
     ) -> None:
-        """Replace the reports of all other instances."""
+        """Replace the reports of all other entries."""
         self._others = [(crash, Seconds(now - crash.age_seconds)) for crash in crashes]
         self._cleared_by_others_at = {}
         for success in successes:
@@ -93,7 +93,7 @@
             self._cleared_by_others_at[success.fingerprint] = max(known, at)
 
     def list_own_crashes(self, now: Seconds) -> tuple[Crash, ...]:
-        """Return the crashes to report to other instances."""
+        """Return the crashes to report to other entries."""
         self._expire(now)
         return tuple(
             Crash(
@@ -104,7 +104,7 @@
         )
 
     def list_successes(self, now: Seconds) -> tuple[Success, ...]:
-        """Return the successes to report to other instances."""
+        """Return the successes to report to other entries."""
         self._expire(now)
         return tuple(
             Success(fingerprint, round(now - at, 2))
@@ -131,7 +131,7 @@
         ]
 
     def _find_last_success(self, fingerprint: Fingerprint) -> Seconds:
-        """Return the time of the last success of a request at any instance."""
+        """Return the time of the last success of a request at any entry."""
         return max(
             self._cleared_at.get(fingerprint, NEVER),
             self._cleared_by_others_at.get(fingerprint, NEVER),
--- a/packages/daemon/src/bergamotwood_daemon/gateway/__init__.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Gateway daemon: entries that proxy requests, and replicas of the control group."""
+"""Gateway daemon: entries that forward requests, and replicas of the control group."""
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -24,7 +24,7 @@
 )
 
 MISDIRECTED_REQUEST = 421
-# Time without a response head after which a repeatable request is retried at another
+# Time without a response head after which a retryable request is retried at another
 # endpoint, in multiples of the route's latency objective.
 HEAD_TIMEOUT_OBJECTIVES = 1.5
 MIN_HEAD_TIMEOUT_SECONDS = 0.4
@@ -186,7 +186,7 @@
         return self._check_head(head)
 
     def receive(self, seconds: float) -> h11.Event:
-        """Return the next event of the response; the endpoint counts as alive."""
+        """Return the next event of the response, and record that data arrived."""
         event = self._connection.receive(max(seconds, 0.0))
         self._entry.health.record_traffic(
             self.heartbeat.endpoint, self.heartbeat.incarnation, self._entry.clock()
@@ -260,8 +260,8 @@
     def _compute_head_timeout(self) -> float:
         """Return the seconds to wait for the head of the response.
 
-        The last attempt, streams, and requests that may not be repeated wait until
-        the deadline.
+        The last attempt, streams, and requests that may not be retried wait until the
+        deadline.
         """
         route = self._call.route
         left = self._compute_time_left()
--- a/packages/daemon/src/bergamotwood_daemon/gateway/client.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/client.py
@@ -19,10 +19,10 @@
 # Connections within a region open within a few milliseconds, and the kernel
 # retransmits a lost SYN only after a second: waiting a little longer does not help.
 CONNECT_TIMEOUT_SECONDS = 0.6
-# Idle time up to which a connection is reused if the endpoint announces no time-out:
+# Idle time up to which a connection is reused if the endpoint announces no timeout:
 # shorter than the 5 s that servers commonly use.
 MAX_IDLE_SECONDS = 3.0
-# Fraction of an endpoint's announced idle time-out up to which a connection is reused.
+# Fraction of an endpoint's announced idle timeout up to which a connection is reused.
 IDLE_TIMEOUT_FRACTION = 0.6
 # Idle connections kept per endpoint.
 MAX_IDLE_CONNECTIONS = 8
--- a/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
@@ -17,8 +17,8 @@
 from bergamotwood_daemon.gateway.peermessages import EntryAddress, SyncReply
 from bergamotwood_daemon.log import log_event
 
-# Retry time for callers of an entry without a current configuration. After a restart
-# of all processes, the control group needs an election before entries get one.
+# Retry delay sent to callers of an entry without a current configuration. After a
+# restart of all processes, the control group needs an election before entries get one.
 STALE_CONFIG_RETRY_SECONDS = 1.3
 DEFAULT_LIMITS = CallerLimits()
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
@@ -29,7 +29,7 @@
 from bergamotwood_daemon.gateway.settings import GatewaySettings
 from bergamotwood_daemon.log import count_dropped_lines
 
-# Most entries listed in one answer to a caller.
+# Maximum number of entries listed in one answer to a caller.
 MAX_ADDRESSES = 64
 
 
@@ -108,7 +108,7 @@
     def list_addresses(self, data_centre: DataCentre) -> list[str]:
         """Return the addresses of ready entries for a caller in a data centre.
 
-        Entries of other data centres are listed only if it has no ready entry.
+        Entries of other data centres are listed only if this one has no ready entry.
         """
         entries = [entry for entry in self.control_state.entries if entry.is_ready]
         own_address = self._format_address()
@@ -158,7 +158,11 @@
         is_bad: bool,
         timing: Timing | None,
     ) -> None:
-        """Record how a request ended, for roll-out evidence and usual timings."""
+        """Record how a request ended, for roll-out evidence and latency averages.
+
+        During a roll-out, the averages exclude the new version, so that its answers
+        are compared with those of the previous one.
+        """
         is_slow = timing is not None and self.latencies.is_slow(
             call.route.name, call.model, timing
         )
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -51,14 +51,14 @@
 from bergamotwood_daemon.log import log_event
 from bergamotwood_daemon.web import PROBLEM_JSON, encode_problem
 
-# Used for callers that state no time-out.
+# Timeout of callers that state none.
 DEFAULT_CALLER_TIMEOUT_SECONDS = 10.0
-# Retry time when every endpoint refused the request.
+# Retry delay sent to callers when every endpoint refused the request.
 OVERLOADED_RETRY_SECONDS = 0.3
-# Retry time when a service has no endpoint: an endpoint that starts announces itself
+# Retry delay when a service has no endpoint: an endpoint that starts announces itself
 # within about one heartbeat.
 NO_ENDPOINT_RETRY_SECONDS = 0.6
-# Retry time while this entry drains: the caller only has to connect to another entry.
+# Retry delay while this entry drains: the caller only has to connect to another one.
 DRAINING_RETRY_SECONDS = 0.02
 # Endpoints accept urgencies from 0, the most urgent, to 9; routes seldom exceed 3.
 MAX_URGENCY = 9
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -68,12 +68,13 @@
 Result = TypeVar("Result")
 
 GROUP = "gateway"
-# Half of the default 0.2 s: a replica that lost its disk must be a voter again within
-# 4 s.
+# Interval between the leader's heartbeats to the other replicas. Half of the default
+# 0.2 s: a replica that lost its disk must be a voter again within 4 s.
 HEARTBEAT_SECONDS = 0.1
 # Shortest time without a leader before an election: six heartbeats. Losing the leader
 # and its disk costs up to twice this, plus the time until it is a voter again.
 ELECTION_SECONDS = 0.6
+# Duration of the leader lease; less than the election timeout.
 LEASE_SECONDS = 0.45
 # Delay between two attempts to reach the leader; elections take about a second.
 LEADER_RETRY_SECONDS = 0.05
@@ -166,7 +167,7 @@
         self._relay_channels.close()
 
     def replace_configuration(self, document: bytes) -> CommandOutcome:
-        """Commit a configuration, unless one with a higher number is in force.
+        """Commit a configuration, which takes effect if its number is the highest.
 
         Raises
         ------
--- a/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/rollouts.py
@@ -77,7 +77,10 @@
         return self._views
 
     def list_settlements(self) -> list[SettleRollout]:
-        """Return commands that settle the roll-outs that end now; leader only."""
+        """Return the commands that settle the roll-outs that end now.
+
+        To be called on the leader only.
+        """
         settlements = []
         for rollout in self._list_rollouts():
             if rollout.outcome is RolloutOutcome.IN_PROGRESS:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/server.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/server.py
@@ -20,7 +20,7 @@
 READ_BYTES = 65_536
 # Bytes of a caller that are buffered ahead; further bytes stay in the kernel.
 MAX_UNREAD_BYTES = 1_048_576
-# Time-out for sending a chunk to a caller. Callers give up much earlier themselves.
+# Timeout for sending a chunk to a caller. Callers give up much earlier themselves.
 SEND_TIMEOUT_SECONDS = 30.0
 # Time for the caller to read an error response before its connection is closed.
 LINGER_SECONDS = 0.5
--- a/packages/daemon/src/bergamotwood_daemon/gateway/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/settings.py
@@ -25,7 +25,7 @@
     session_seconds : float
         Longest pause between two requests of one session.
     acknowledge_seconds : float
-        Deadline for answering one call of an operator.
+        Maximum time until one call of an operator is answered.
     heartbeat_seconds : float
         Interval between two heartbeats of an endpoint.
     """
@@ -47,7 +47,7 @@
     Parameters
     ----------
     instance : InstanceId
-        Its address for other daemons: host and port for traffic between daemons.
+        Id of the daemon: the host and port at which other daemons reach it.
     name : str
         Name used in logs.
     data_centre : DataCentre
--- a/tests/core/gateway/test_suspects.py
+++ b/tests/core/gateway/test_suspects.py
@@ -30,7 +30,7 @@
 
 
 def exchange_reports(tables, now):
-    """Deliver the reports of each instance to all others."""
+    """Deliver the reports of each entry to all others."""
     crashes = [table.list_own_crashes(Seconds(now)) for table in tables]
     successes = [table.list_successes(Seconds(now)) for table in tables]
     for at, table in enumerate(tables):
@@ -65,7 +65,7 @@
     tables = [SuspectTable() for _ in range(3)]
     record_crash(tables[1], "e1", 10.0)
     record_crash(tables[2], "e2", 10.0)
-    # Clocks of instances differ, so that reports contain ages instead of times.
+    # Clocks of entries differ, so that reports contain ages instead of times.
     reports = [
         item for table in tables[1:] for item in table.list_own_crashes(Seconds(11.0))
     ]
--- a/tests/daemon/gateway/harness.py
+++ b/tests/daemon/gateway/harness.py
@@ -32,7 +32,7 @@
 
 
 class PlainDialect:
-    """Maps short header names to terms; every document is `configuration`."""
+    """Maps short header names to metadata; every document is `configuration`."""
 
     def __init__(self, configuration):
         self.configuration = configuration
