--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -120,11 +120,11 @@
 
 
 class Call(Struct):
-    """State of a request while a router instance processes it.
+    """State of a request while an entry processes it.
 
     Parameters
     ----------
-    terms : RequestMetadata
+    metadata : RequestMetadata
         Metadata that the caller sent.
     route : ServiceRoute
         Route that matches the request.
@@ -150,7 +150,7 @@
         Timing of the answer that was delivered to the caller.
     """
 
-    terms: RequestMetadata
+    metadata: RequestMetadata
     route: ServiceRoute
     holder: GatewayWorkspace | None
     service: ServiceName
--- a/packages/core/src/bergamotwood_core/gateway/placement.py
+++ b/packages/core/src/bergamotwood_core/gateway/placement.py
@@ -34,7 +34,7 @@
 # Cost of an endpoint that is still warming up.
 WARMUP_COST_SECONDS = 0.2
 # Fraction of the shared prompt that is assumed to be cached at the preferred endpoint,
-# because all instances send it there.
+# because all entries send it there.
 PREFERRED_CACHED_FRACTION = 0.95
 # Additional cost of the prefill of shared tokens that are not cached, as a multiple of
 # its duration: meanwhile the engine generates no tokens for other requests, and the
@@ -51,8 +51,8 @@
 OPEN_REQUEST_COST_SECONDS = 0.003
 # Response time that is assumed before the first response to a request without prompt.
 INITIAL_RESPONSE_SECONDS = 0.05
-# Maximum relative jitter of costs. It prevents instances with equal information from
-# all choosing the same endpoint.
+# Maximum relative jitter of costs. It prevents entries with equal information from all
+# choosing the same endpoint.
 COST_JITTER = 0.1
 
 
@@ -64,15 +64,15 @@
     heartbeat : EndpointHeartbeat
         Latest heartbeat of the endpoint.
     health : EndpointHealth
-        Health observed by this instance.
+        Health observed by this entry.
     load : EndpointLoad
-        Load from all instances.
+        Load from all entries.
     uncached_tokens : int
         Tokens of the prompt that probably need prefill.
     uncached_shared_tokens : int
         Those of them that are shared with other requests.
     is_guess : bool
-        Whether the cached tokens are only assumed because all instances prefer the
+        Whether the cached tokens are only assumed because all entries prefer the
         endpoint.
     """
 
@@ -85,12 +85,12 @@
 
 
 class Placement:
-    """Chooses endpoints for the requests of one router instance.
+    """Chooses endpoints for the requests of one entry.
 
     Parameters
     ----------
     data_centre : DataCentre
-        Data centre of the instance.
+        Data centre of the entry.
     health : HealthTable
         Health of the endpoints.
     find_load : callable
@@ -127,7 +127,7 @@
         preferred = find_preferred_endpoint(
             [heartbeat for heartbeat, _ in eligible], call
         )
-        shared = call.terms.prompt[:-1]
+        shared = call.metadata.prompt[:-1]
         tokens = sum(part.tokens for part in shared)
         candidates = [
             self._make_candidate(
@@ -142,7 +142,7 @@
         )
 
     def is_unresponsive(self, heartbeat: EndpointHeartbeat, now: Seconds) -> bool:
-        """Whether an endpoint sends neither heartbeats nor answers to this instance."""
+        """Whether an endpoint sends neither heartbeats nor answers to this entry."""
         return heartbeat.endpoint in self.silent and self._health.is_unresponsive(
             heartbeat.endpoint, heartbeat.incarnation, now
         )
@@ -155,7 +155,7 @@
         """Record that a prompt was sent to an endpoint, which caches it."""
         heartbeat = candidate.heartbeat
         self.prefix_cache.record(
-            heartbeat.endpoint, heartbeat.incarnation, call.model, call.terms.prompt
+            heartbeat.endpoint, heartbeat.incarnation, call.model, call.metadata.prompt
         )
 
     def record_answer_start(
@@ -203,7 +203,7 @@
             heartbeat,
             health,
             load,
-            max(call.terms.prompt_tokens - cached_tokens, 0),
+            max(call.metadata.prompt_tokens - cached_tokens, 0),
             max(shared_tokens - cached_tokens, 0),
             is_guess=assumed > cached,
         )
@@ -211,7 +211,7 @@
     def _estimate_cost(self, candidate: Candidate, call: Call, now: Seconds) -> float:
         heartbeat = candidate.heartbeat
         load = candidate.load
-        if call.terms.prompt_tokens:
+        if call.metadata.prompt_tokens:
             cost = self._estimate_prefill_cost(candidate, call)
         else:
             seconds = candidate.health.seconds or INITIAL_RESPONSE_SECONDS
@@ -248,18 +248,18 @@
 
 def find_affinity_key(call: Call) -> str:
     """Return the id of the longest shared prompt, or else the session."""
-    parts = call.terms.prompt
+    parts = call.metadata.prompt
     if len(parts) > 1:
         return parts[-2].id
-    return call.terms.session
+    return call.metadata.session
 
 
 def find_preferred_endpoint(
     heartbeats: list[EndpointHeartbeat], call: Call
 ) -> EndpointHeartbeat | None:
-    """Return the endpoint that all instances prefer for a request's affinity key.
+    """Return the endpoint that all entries prefer for a request's affinity key.
 
-    Uses rendezvous hashing: all instances make the same choice without coordination,
+    Uses rendezvous hashing: all entries make the same choice without coordination,
     and few keys move when an endpoint is added or removed.
     """
     affinity_key = find_affinity_key(call)
--- a/packages/core/src/bergamotwood_core/gateway/retries.py
+++ b/packages/core/src/bergamotwood_core/gateway/retries.py
@@ -6,19 +6,20 @@
 from bergamotwood_core.gateway.call import Call
 from bergamotwood_core.ids import ServiceName
 
-# Additional sends of one request, for endpoints that refuse it without executing it.
+# Sends of one request beyond the route's `max_attempts`, because endpoints may refuse
+# it without executing it.
 MAX_REFUSED_SENDS = 2
 # Minimum time before the deadline for a retry to be worthwhile.
 MIN_RETRY_SECONDS = 0.05
 
 
 class RetryBudget:
-    """Limit on the retries that one instance may send to each service.
+    """Limit on the retries that one entry may send to each service.
 
     The fleet's budget in a sliding window is a fraction of the requests plus a fixed
-    number. Each instance applies the fraction to its own requests and uses an equal
-    share of the fixed number, so that all instances together stay within the
-    fleet's budget without coordination.
+    number. Each entry applies the fraction to its own requests and uses an equal
+    share of the fixed number, so that all entries together stay within the fleet's
+    budget without coordination.
 
     Parameters
     ----------
@@ -31,7 +32,7 @@
     """
 
     def __init__(self, ratio: float, extra: float, window_seconds: float) -> None:
-        self.instance_count = 1
+        self.entry_count = 1
         self._ratio = ratio
         self._extra = extra
         self._window = window_seconds
@@ -40,19 +41,19 @@
 
     def record_request(self, service: ServiceName, now: Seconds) -> None:
         """Record a request of a caller."""
-        self._count(self._requests, service, now)
+        self._record(self._requests, service, now)
 
     def allows(self, service: ServiceName, now: Seconds) -> bool:
         """Whether another retry is within the budget."""
         requests = self._count_recent(self._requests, service, now)
         retries = self._count_recent(self._retries, service, now)
-        return retries + 1 <= self._ratio * requests + self._extra / self.instance_count
+        return retries + 1 <= self._ratio * requests + self._extra / self.entry_count
 
     def record_retry(self, service: ServiceName, now: Seconds) -> None:
         """Record a retry that is sent."""
-        self._count(self._retries, service, now)
+        self._record(self._retries, service, now)
 
-    def _count(
+    def _record(
         self,
         table: dict[ServiceName, deque[Seconds]],
         service: ServiceName,
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -24,7 +24,7 @@
 )
 
 MISDIRECTED_REQUEST = 421
-# Time without a response head after which a repeatable request is retried at another
+# Time without a response head after which a retryable request is retried at another
 # endpoint, in multiples of the route's latency objective.
 HEAD_TIMEOUT_OBJECTIVES = 1.5
 MIN_HEAD_TIMEOUT_SECONDS = 0.4
@@ -186,7 +186,7 @@
         return self._check_head(head)
 
     def receive(self, seconds: float) -> h11.Event:
-        """Return the next event of the response; the endpoint counts as alive."""
+        """Return the next event of the response, and record that data arrived."""
         event = self._connection.receive(max(seconds, 0.0))
         self._entry.health.record_traffic(
             self.heartbeat.endpoint, self.heartbeat.incarnation, self._entry.clock()
@@ -208,9 +208,9 @@
         request = self._request
         must_be_new = not self._call.route.is_retryable
         self._connection = self._entry.pool.acquire(self.heartbeat.address, must_be_new)
-        terms = self._make_metadata(self._call, self)
+        metadata = self._make_metadata(self._call, self)
         headers = self._entry.dialect.write_forward(
-            strip_connection_fields(request.headers), terms
+            strip_connection_fields(request.headers), metadata
         )
         if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
             headers.append((b"content-length", str(len(request.body)).encode()))
@@ -237,8 +237,8 @@
         return self._entry.placement.is_unresponsive(self.heartbeat, now)
 
     def _check_head(self, head: h11.Response) -> h11.Response | Outcome:
-        terms = self._entry.dialect.read_answer(list(head.headers))
-        if terms.is_not_run or head.status_code == MISDIRECTED_REQUEST:
+        metadata = self._entry.dialect.read_answer(list(head.headers))
+        if metadata.is_not_run or head.status_code == MISDIRECTED_REQUEST:
             self.close()
             result = AttemptResult.FULL
             if head.status_code == MISDIRECTED_REQUEST:
@@ -249,7 +249,7 @@
                 was_sent=True,
             )
         self._call.runs += 1
-        if not terms.is_signed or terms.request != self._call.terms.request:
+        if not metadata.is_signed or metadata.request != self._call.metadata.request:
             return MayHaveRun(
                 "response is unsigned or for another request", AttemptResult.BROKEN
             )
@@ -260,8 +260,8 @@
     def _compute_head_timeout(self) -> float:
         """Return the seconds to wait for the head of the response.
 
-        The last attempt, streams, and requests that may not be repeated wait until
-        the deadline.
+        The last attempt, streams, and requests that may not be retried wait until the
+        deadline.
         """
         route = self._call.route
         left = self._compute_time_left()
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -85,20 +85,20 @@
 def make_prompt_call(shared_id, model="large"):
     route = make_route(destinations=(Destination(MODELS),))
     parts = (PromptPart(shared_id, 13_000), PromptPart("own", 3_000))
-    terms = RequestMetadata(RequestId("q"), prompt_tokens=16_000, prompt=parts)
-    return make_call(route, terms=terms, model=ModelName(model))
+    metadata = RequestMetadata(RequestId("q"), prompt_tokens=16_000, prompt=parts)
+    return make_call(route, metadata=metadata, model=ModelName(model))
 
 
 def make_engines():
     return [make_heartbeat(f"e{at}", service=MODELS, slots=64) for at in range(9)]
 
 
-def test_all_instances_prefer_one_engine_per_shared_prompt_until_it_is_loaded():
+def test_all_entries_prefer_one_engine_per_shared_prompt_until_it_is_loaded():
     heartbeats = make_engines()
     preferred = {
         shared_id: {
-            choose(heartbeats, make_prompt_call(shared_id), seed=instance)
-            for instance in range(9)
+            choose(heartbeats, make_prompt_call(shared_id), seed=entry)
+            for entry in range(9)
         }
         for shared_id in "abcdefgh"
     }
@@ -127,8 +127,8 @@
     route = make_route(destinations=(Destination(MODELS),))
     tokens = int(seconds / INITIAL_SECONDS_PER_TOKEN)
     parts = (PromptPart("own", tokens),)
-    terms = RequestMetadata(RequestId("q"), prompt_tokens=tokens, prompt=parts)
-    return make_call(route, terms=terms, model=ModelName("large"))
+    metadata = RequestMetadata(RequestId("q"), prompt_tokens=tokens, prompt=parts)
+    return make_call(route, metadata=metadata, model=ModelName("large"))
 
 
 def simulate_burst(choose_next, seed):
@@ -215,16 +215,17 @@
 
 def test_unresponsive_endpoint_is_avoided_but_not_one_with_recent_traffic():
     health = HealthTable()
-    heartbeats = [make_heartbeat("dark"), make_heartbeat("cut")]
+    heartbeats = [make_heartbeat("unresponsive"), make_heartbeat("answering")]
     placement = make_placement(health)
-    placement.silent = frozenset(("dark", "cut"))
+    placement.silent = frozenset(("unresponsive", "answering"))
     now = Seconds(50.0)
-    health.record_traffic("cut", 1, Seconds(49.5))
+    health.record_traffic("answering", 1, Seconds(49.5))
     chosen = {
         placement.choose(heartbeats, make_call(), now).heartbeat.endpoint
         for _ in range(9)
     }
-    assert chosen == {"cut"}
+    assert chosen == {"answering"}
     assert (
-        placement.choose(heartbeats[:1], make_call(), now).heartbeat.endpoint == "dark"
+        placement.choose(heartbeats[:1], make_call(), now).heartbeat.endpoint
+        == "unresponsive"
     )
