--- a/packages/core/src/bergamotwood_core/allocation.py
+++ b/packages/core/src/bergamotwood_core/allocation.py
@@ -104,12 +104,12 @@
     """
     mixes = [OptionMix(hull[0], hull[0]) for hull in hulls]
     quality = sum(w * m.low.quality for w, m in zip(weights, mixes, strict=True))
-    segments = sorted(
+    upgrades = sorted(
         (compute_slope(low, high), index, low, high)
         for index, hull in enumerate(hulls)
         for low, high in _list_neighbours(hull)
     )
-    for _, index, low, high in segments:
+    for _, index, low, high in upgrades:
         if quality >= target:
             break
         gain = weights[index] * (high.quality - low.quality)
--- a/packages/core/src/bergamotwood_core/announcement.py
+++ b/packages/core/src/bergamotwood_core/announcement.py
@@ -12,7 +12,7 @@
 from bergamotwood_core.messages import Announcement
 
 MAX_ANNOUNCEMENT_BYTES = 131_072
-MAX_NAME = 128
+MAX_NAME_CHARACTERS = 128
 MAX_VERSIONS = 64
 MAX_PREFIXES = 4_096
 MAX_SUSPECTS = 1_024
@@ -76,8 +76,11 @@
 
 
 def _check_name(place: str, name: str) -> Iterator[str]:
-    if len(name) > MAX_NAME or _NAME.fullmatch(name) is None:
-        yield f"{place}: must match {_NAME.pattern}, at most {MAX_NAME} characters"
+    if len(name) > MAX_NAME_CHARACTERS or _NAME.fullmatch(name) is None:
+        yield (
+            f"{place}: must match {_NAME.pattern}, "
+            f"at most {MAX_NAME_CHARACTERS} characters"
+        )
 
 
 def _check_address(announcement: Announcement) -> Iterator[str]:
--- a/packages/core/src/bergamotwood_core/estimate.py
+++ b/packages/core/src/bergamotwood_core/estimate.py
@@ -22,7 +22,7 @@
 # Prior mean of the selection bias.
 PRIOR_BIAS = 0.03
 # Weight of that prior, in pairs of ratings.
-PRIOR_BIAS_RATINGS = 20.0
+PRIOR_BIAS_PAIRS = 20.0
 
 
 def find_bin(score: float) -> int:
@@ -206,8 +206,8 @@
         Discounted sum and count of the score differences.
     """
 
-    total: float = PRIOR_BIAS * PRIOR_BIAS_RATINGS
-    weight: float = PRIOR_BIAS_RATINGS
+    total: float = PRIOR_BIAS * PRIOR_BIAS_PAIRS
+    weight: float = PRIOR_BIAS_PAIRS
 
     def add(self, first: float, second: float) -> None:
         """Add the two scores of one accepted answer."""
--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -22,13 +22,13 @@
     _follow_leader(state, message, now)
     if not _fits_log(state, body):
         hint = _find_match_hint(state, body.previous_index)
-        _reply(state, message, body, accepted=False, match=hint, now=now)
+        _send_append_reply(state, message, body, accepted=False, match=hint, now=now)
         return
     _append_missing(state, body.entries)
     match = LogIndex(body.previous_index + len(body.entries))
     state.commit_to(LogIndex(min(body.commit, match)))
     _update_confirmed_at(state, body)
-    _reply(state, message, body, accepted=True, match=match, now=now)
+    _send_append_reply(state, message, body, accepted=True, match=match, now=now)
 
 
 def handle_snapshot_part(
@@ -39,8 +39,10 @@
     if body.index > state.commit:
         received = _add_part(state, body)
         if received < body.size:
-            reply = SnapshotReply(body.index, received, body.sent, state.get_time(now))
-            state.send(message.instance, message.sender, reply)
+            part_reply = SnapshotReply(
+                body.index, received, body.sent, state.get_time(now)
+            )
+            state.send(message.instance, message.sender, part_reply)
             return
         _install(state, body)
     time = state.get_time(now)
@@ -102,7 +104,7 @@
         state.confirm(Seconds(body.echo.at - body.age))
 
 
-def _reply(
+def _send_append_reply(
     state: ReplicaState,
     message: Message,
     body: AppendRequest,
--- a/packages/core/src/bergamotwood_core/frontier.py
+++ b/packages/core/src/bergamotwood_core/frontier.py
@@ -111,7 +111,8 @@
     """List single versions and rated cascades of two or three, in the given order."""
     evaluated = [_evaluate_version(forecast, parameters) for forecast in forecasts]
     options = [
-        Option((Step(w.version),), w.last_cost, w.direct_quality) for w in evaluated
+        Option((Step(item.version),), item.last_cost, item.direct_quality)
+        for item in evaluated
     ]
     for first, last in combinations(evaluated, 2):
         options += _list_pairs(first, last)
--- a/packages/core/src/bergamotwood_core/orders.py
+++ b/packages/core/src/bergamotwood_core/orders.py
@@ -138,9 +138,11 @@
     for model in configuration.models.values():
         wanted = _find_wanted_versions(configuration, model)
         for endpoint in _find_pool(model, endpoints):
-            held = endpoint.announcement.versions
+            loaded = endpoint.announcement.versions
             incarnation = endpoint.announcement.incarnation
-            missing += [(endpoint.id, incarnation, v) for v in wanted if v not in held]
+            missing += [
+                (endpoint.id, incarnation, v) for v in wanted if v not in loaded
+            ]
     return sorted(missing, key=lambda key: (copies[key[2]], key[2], key[0]))
 
 
--- a/packages/core/src/bergamotwood_core/retry.py
+++ b/packages/core/src/bergamotwood_core/retry.py
@@ -10,7 +10,7 @@
 BACKOFF_BASE_SECONDS = 0.1
 BACKOFF_CAP_SECONDS = 10.0
 HEDGE_QUANTILE = 0.95
-HEDGE_WINDOW = 256
+HEDGE_WINDOW_CALLS = 256
 HEDGE_MIN_SAMPLES = 32
 
 
@@ -64,7 +64,7 @@
         self,
         retries: RetryBudget,
         quantile: float = HEDGE_QUANTILE,
-        window: int = HEDGE_WINDOW,
+        window: int = HEDGE_WINDOW_CALLS,
     ) -> None:
         self.retries = retries
         self.quantile = quantile
--- a/packages/core/src/bergamotwood_core/rollout.py
+++ b/packages/core/src/bergamotwood_core/rollout.py
@@ -331,8 +331,8 @@
 
 def _list_test_starts(monitor: RolloutMonitor) -> list[tuple[float, ArmCounts]]:
     test_starts = [(FIRST_TEST_START_WEIGHT, ArmCounts())]
-    for order, counts in monitor.test_starts:
-        weight = (1.0 - FIRST_TEST_START_WEIGHT) / (order * (order + 1.0))
+    for number, counts in monitor.test_starts:
+        weight = (1.0 - FIRST_TEST_START_WEIGHT) / (number * (number + 1.0))
         test_starts.append((weight, counts))
     return test_starts
 
--- a/tests/core/opencluster.py
+++ b/tests/core/opencluster.py
@@ -3,7 +3,7 @@
 from core.logcluster import Cluster
 from msgspec.structs import replace
 
-INITIAL = 3
+INITIAL_VOTERS = 3
 # The values that the gateway sets.
 ELECTION_SECONDS = 0.6
 LEASE_SECONDS = 0.45
@@ -36,12 +36,12 @@
         self.removed = set()
         self.power_loss_share = power_loss_share
         self.lost_at_once = lost_at_once
-        super().__init__(seed, size=INITIAL + spares, **options)
+        super().__init__(seed, size=INITIAL_VOTERS + spares, **options)
 
     def make_settings(self, node):
         return replace(
             super().make_settings(node),
-            initial_voters=self.names[:INITIAL],
+            initial_voters=self.names[:INITIAL_VOTERS],
             forms_group=not node.lost_disks and node.disk.genesis is None,
             open_membership=True,
             election_seconds=ELECTION_SECONDS,
--- a/tests/core/test_directory.py
+++ b/tests/core/test_directory.py
@@ -79,7 +79,9 @@
     st.randoms(use_true_random=False),
 )
 def test_daemons_agree_whatever_the_order_of_announcements(announcements, shuffler):
-    unique = list({(w.incarnation, w.sequence): w for w in announcements}.values())
+    unique = list(
+        {(item.incarnation, item.sequence): item for item in announcements}.values()
+    )
     first, second = DirectoryTables(), DirectoryTables()
     for announcement in unique:
         merge_announcement(first, announcement, 0.0)
@@ -90,7 +92,7 @@
     assert one.serving == two.serving
     assert one.announcement.incarnation == two.announcement.incarnation
     newest = max(announcement.incarnation for announcement in unique)
-    left = any(w.incarnation == newest and w.state is LEAVING for w in unique)
+    left = any(item.incarnation == newest and item.state is LEAVING for item in unique)
     assert one.serving != left
 
 
--- a/tests/core/test_ticket.py
+++ b/tests/core/test_ticket.py
@@ -210,7 +210,9 @@
     assert tables.versions["small:2"].state is VersionState.WITHDRAWN
     model = build_model(v1="serving", v2="serving")
     faults = check_ticket(tables, build_ticket(4, models=[model]))
-    assert any("small:2 is serving, but roll-out r is stopped" in x for x in faults)
+    assert any(
+        "small:2 is serving, but roll-out r is stopped" in fault for fault in faults
+    )
     allowed = build_ticket(4, models=[model], remove={"rollouts": ["r"]})
     assert check_ticket(tables, allowed) == ()
     restarted = build_ticket(4, models=[model], rollouts=[build_rollout()])
