--- a/packages/core/src/bergamotwood_core/__init__.py
+++ b/packages/core/src/bergamotwood_core/__init__.py
@@ -1,1 +1,1 @@
-"""Tables, systems and decisions; no sockets and no clock of its own."""
+"""State and decision logic of the router, without sockets or a clock of its own."""
--- a/packages/core/src/bergamotwood_core/admission.py
+++ b/packages/core/src/bergamotwood_core/admission.py
@@ -26,7 +26,7 @@
     Parameters
     ----------
     limit : int
-        Concurrent requests of a pool until its limit is set.
+        Concurrent requests of a pool until `set_limit` is called for it.
     max_queued : int
         Maximum queue length of one workspace in one pool.
     max_wait_seconds : float
@@ -343,7 +343,7 @@
         ]
 
     def _find_refusal_code(self, queue: _WorkspaceQueue) -> Code:
-        """Return the code that tells the workspace's own limit from overload."""
+        """Return the code of the workspace's own limit or, below it, of overload."""
         running = self._in_flight.get(queue.workspace.key, 0)
         if running >= queue.workspace.max_in_flight:
             return Code.WORKSPACE_LIMIT
--- a/packages/core/src/bergamotwood_core/bootstrap.py
+++ b/packages/core/src/bergamotwood_core/bootstrap.py
@@ -1,4 +1,4 @@
-"""Forming of a group, and joining of replicas to it.
+"""Formation of a log group, and joining of replicas to it.
 
 Only the first initial voter forms a new group, and only after every other one
 has told this voter's current identity that it belongs to no group. So replicas
--- a/packages/core/src/bergamotwood_core/cascade.py
+++ b/packages/core/src/bergamotwood_core/cascade.py
@@ -178,7 +178,7 @@
 
         Returns
         -------
-        Plan
+        CascadePlan
             Empty if the workspace may use none of the candidates.
         """
         allowed = set(workspace.versions)
--- a/packages/core/src/bergamotwood_core/clock.py
+++ b/packages/core/src/bergamotwood_core/clock.py
@@ -1,6 +1,7 @@
-"""Type of time in the core, which is passed in and never decreases."""
+"""Type of the times that callers pass to the core; they never decrease."""
 
 from typing import NewType
 
-# Seconds on a clock that counts while the machine sleeps (CLOCK_BOOTTIME).
+# Seconds on a monotonic clock that also runs while the machine sleeps
+# (CLOCK_BOOTTIME).
 Seconds = NewType("Seconds", float)
--- a/packages/core/src/bergamotwood_core/control.py
+++ b/packages/core/src/bergamotwood_core/control.py
@@ -72,13 +72,14 @@
 # Suspect fingerprints, and crash reports, that are kept.
 MAX_SUSPECTS = 4_096
 MAX_CRASH_REPORTS = 8_192
-# Characters of a note or operator, and names of objects, kept of a ticket.
+# Characters of a note, operator or reason, and object names per ticket, that are
+# kept.
 MAX_NOTE_CHARACTERS = 200
 MAX_RECORDED_NAMES = 16
 
 
 class TicketRecord(Struct, frozen=True):
-    """What the control replicas keep of an accepted ticket."""
+    """Data of an accepted ticket that the control replicas keep."""
 
     number: TicketNumber
     digest: str
@@ -89,7 +90,7 @@
 
 
 class CrashReport(Struct, frozen=True):
-    """Crash of one start of an endpoint while it ran a request fingerprint."""
+    """Crash of an endpoint's incarnation that was running a request, by fingerprint."""
 
     fingerprint: Fingerprint
     endpoint: EndpointId
--- a/packages/core/src/bergamotwood_core/control_command.py
+++ b/packages/core/src/bergamotwood_core/control_command.py
@@ -31,7 +31,7 @@
     ticket : TicketNumber
         Ticket that had last set the roll-out when the step was decided; the
         step is refused once a later ticket has set the roll-out.
-    stage, state, exposed, reason
+    stage, state, exposed, reason : int, RolloutState, int, str
         The new progress. Stage and exposure never decrease.
     """
 
@@ -44,7 +44,7 @@
 
 
 class RecordCrash(Struct, frozen=True, tag="crash"):
-    """Record that an endpoint crashed while it ran a request fingerprint."""
+    """Record that an endpoint crashed while it ran a request with the fingerprint."""
 
     fingerprint: Fingerprint
     endpoint: EndpointId
--- a/packages/core/src/bergamotwood_core/directory.py
+++ b/packages/core/src/bergamotwood_core/directory.py
@@ -25,8 +25,8 @@
 
 # Time without a new announcement after which an endpoint is removed.
 ENDPOINT_EXPIRY_SECONDS = 5.0
-# How long the last incarnation and sequence of a removed instance are kept, to
-# reject late messages.
+# How long the last incarnation and sequence of a removed endpoint or entry are
+# kept, to reject late messages.
 DEPARTURE_RETENTION_SECONDS = 600.0
 # Maximum sizes of the tables.
 MAX_ENDPOINTS = 8_192
@@ -92,7 +92,7 @@
     load : LoadReport
         Load report.
     now : Seconds
-        When it arrived.
+        When the load report arrived.
 
     Returns
     -------
--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -99,8 +99,8 @@
     if body.age is None or body.echo.session != state.session:
         return
     if state.commit >= body.commit:
-        # The leader sent this after the clock reading that it echoes, so on this
-        # clock its confirmed time is at least as late.
+        # The leader sent this after it received the clock reading `echo`. So the
+        # time that it confirms is, on this clock, not before `echo.at - age`.
         state.confirm(Seconds(body.echo.at - body.age))
 
 
--- a/packages/core/src/bergamotwood_core/key_table.py
+++ b/packages/core/src/bergamotwood_core/key_table.py
@@ -160,7 +160,7 @@
             self._drop_answer(next(iter(self.answers)))
 
     def abandon(self, instance: InstanceId, incarnation: Incarnation) -> int:
-        """Mark the held claims of an entry as unknown."""
+        """Mark the held claims of an entry, up to an incarnation, as unknown."""
         scopes = [
             scope
             for scope in self._held
--- a/packages/core/src/bergamotwood_core/logentries.py
+++ b/packages/core/src/bergamotwood_core/logentries.py
@@ -183,7 +183,7 @@
             self._memberships.append((entry.index, entry.membership))
 
     def find_conflict(self, index: LogIndex) -> LogIndex:
-        """Return the index before the run of entries with the term of this one."""
+        """Return the index before the entries that share the term at an index."""
         term = self.find_term(index)
         while index > self.start and self.find_term(index) == term:
             index = LogIndex(index - 1)
--- a/packages/core/src/bergamotwood_core/outcome.py
+++ b/packages/core/src/bergamotwood_core/outcome.py
@@ -72,7 +72,7 @@
         return copied
 
     def add(self, other: "ArmCounts") -> None:
-        """Add the counts of another instance."""
+        """Add other counts to these."""
         self.started += other.started
         self.finished += other.finished
         self.failed += other.failed
@@ -191,7 +191,7 @@
             arm.scores[find_bin(score)] += 1
 
     def is_candidate(self, version: VersionId) -> bool:
-        """Whether a version is a candidate, whose answers are rated with preference."""
+        """Whether a version is a candidate, whose answers have priority in rating."""
         return any(c.candidate_version == version for c in self._counts.values())
 
     def list_reports(self) -> list[RolloutReport]:
@@ -228,7 +228,7 @@
         self._reports: OrderedDict[str, RolloutReport] = OrderedDict()
 
     def merge(self, report: RolloutReport) -> bool:
-        """Store a report; return False if it is old, repeated, foreign or invalid."""
+        """Store a report; False if old, repeated, invalid or of another ticket."""
         if report.ticket != self.ticket:
             return False
         if not (report.candidate.is_valid() and report.current.is_valid()):
--- a/packages/core/src/bergamotwood_core/quarantine.py
+++ b/packages/core/src/bergamotwood_core/quarantine.py
@@ -292,7 +292,7 @@
 
     Parameters
     ----------
-    failure : Failure
+    failure : AttemptFailure
         Circumstances of the failed attempt.
     incarnation_changed : bool
         Whether the endpoint has announced a new incarnation since.
--- a/packages/core/src/bergamotwood_core/replica.py
+++ b/packages/core/src/bergamotwood_core/replica.py
@@ -93,7 +93,8 @@
         state.hard_state = saved.hard_state
         state.snapshot = saved.snapshot
         state.commit = state.log.start
-        # Promises to a leader are not saved, so a restart counts as hearing one.
+        # When a leader was last heard is not saved. A restart counts as hearing one,
+        # since a leader may hold a lease that relies on this replica.
         state.leader_heard_at = now
         state.delay_election(now)
         self.state = state
@@ -194,7 +195,7 @@
         broadcast(self.state, now)
 
     def mark_synced(self, now: Seconds) -> None:
-        """Note that all records taken so far are on disk, and commit if possible."""
+        """Mark all records taken so far as synced to disk, and commit if possible."""
         leadership = self.state.leadership
         if leadership is None:
             return
--- a/packages/core/src/bergamotwood_core/replicastate.py
+++ b/packages/core/src/bergamotwood_core/replicastate.py
@@ -156,7 +156,7 @@
     votes : set of ReplicaId
         Voters that granted their vote in this pre-vote or election.
     leadership : Leadership or None
-        State of the leader, None while it does not lead.
+        State that it has only while it leads, None otherwise.
     confirmed_at : Seconds
         As in `Effects`.
     incoming : IncomingSnapshot or None
@@ -285,6 +285,6 @@
         self.commit = index
 
     def confirm(self, at: Seconds) -> None:
-        """Note that everything committed at a time is known to this replica."""
+        """Record that everything committed by a time is known to this replica."""
         self.confirmed_at = max(self.confirmed_at, at)
         self.effects.confirmed_at = self.confirmed_at
--- a/packages/core/src/bergamotwood_core/rollout.py
+++ b/packages/core/src/bergamotwood_core/rollout.py
@@ -90,10 +90,11 @@
     stage, stage_seen_at : int, Seconds
         Current stage, and when this leader first saw it.
     test_starts : list of tuple
-        Number and candidate's counts of earlier moments. The harm tests also run
-        from these, so that a candidate that degrades later is detected.
+        Starting points of further harm tests: the number of each, and the
+        candidate's counts at that time. They detect a candidate that degrades
+        later.
     test_start_count : int
-        Number of starting points so far.
+        Number of starting points so far, including those no longer kept.
     """
 
     evidence: RolloutEvidence
--- a/packages/core/src/bergamotwood_core/segment.py
+++ b/packages/core/src/bergamotwood_core/segment.py
@@ -40,7 +40,26 @@
 
 @dataclass(slots=True)
 class Segment:
-    """Allocation and moving averages of one segment."""
+    """Allocation and moving averages of one segment.
+
+    Parameters
+    ----------
+    candidates : sequence of Candidate
+        Candidates of the newest request.
+    weight : float
+        Number of requests, discounted at each request of any segment.
+    count : int
+        Number of requests.
+    prompt_tokens : float
+        Mean prompt length.
+    mix, unrated_mix : OptionMix or None
+        Allocation, and the one used when the rating budget does not suffice.
+    exploration_candidates : sequence of ExplorationCandidate
+        Versions that may be explored.
+    credit, unrated_credit : float
+        Accumulated share of each mix. When it reaches 1, the `high` option is
+        chosen and 1 is subtracted.
+    """
 
     candidates: Sequence[Candidate]
     weight: float = 0.0
--- a/packages/core/src/bergamotwood_core/tables.py
+++ b/packages/core/src/bergamotwood_core/tables.py
@@ -45,7 +45,8 @@
     announcement : Announcement
         Its newest announcement.
     heard_at : Seconds
-        When that announcement reached this daemon.
+        When that announcement reached this daemon; for a forwarded one, minus its
+        age.
     outstanding : int
         Requests that this daemon is running there.
     outstanding_at_report : int
--- a/packages/core/src/bergamotwood_core/watermark.py
+++ b/packages/core/src/bergamotwood_core/watermark.py
@@ -7,7 +7,7 @@
 
 from bergamotwood_core.ids import Incarnation, InstanceId, RequestId, Sequence
 
-# Sequence numbers, up to the newest, that are still accepted from an entry.
+# How many sequence numbers of an entry, counted back from the newest, are accepted.
 WINDOW_SIZE = 65_536
 # Incarnations of one instance, and instances, for which windows are kept.
 MAX_INCARNATIONS = 3
@@ -38,7 +38,7 @@
 
 
 def parse_request_id(request: RequestId) -> RequestOrigin | None:
-    """Split a request id into its parts; None if it has not that form."""
+    """Split a request id into its parts; None if it has another form."""
     parts = request.rsplit("-", 2)
     if len(parts) != 3 or not parts[0]:
         return None
@@ -123,7 +123,7 @@
         ]
 
     def load(self, stored: list[StoredWindow]) -> None:
-        """Fill an empty table from such a list, keeping its order."""
+        """Fill an empty table from a list that `dump` returned, keeping its order."""
         for item in stored:
             window = SequenceWindow(item.floor, int.from_bytes(item.seen, "little"))
             windows = self.windows.setdefault(item.instance, {})
--- a/tests/core/fleet.py
+++ b/tests/core/fleet.py
@@ -31,7 +31,7 @@
     versions: tuple[str, ...] = (VERSION,),
     state: EndpointState = EndpointState.SERVING,
 ) -> Endpoint:
-    """Make an endpoint entry of the directory."""
+    """Make an endpoint as the directory holds it."""
     announcement = Announcement(
         id=EndpointId(name),
         incarnation=Incarnation(1),
--- a/tests/core/opencluster.py
+++ b/tests/core/opencluster.py
@@ -4,7 +4,7 @@
 from msgspec.structs import replace
 
 INITIAL_VOTERS = 3
-# The values that the gateway sets.
+# Election timeout and lease that the gateway sets.
 ELECTION_SECONDS = 0.6
 LEASE_SECONDS = 0.45
 
@@ -12,8 +12,8 @@
 class OpenCluster(Cluster):
     """Three initial voters, and spare instances that ask to join.
 
-    No more instances at a time are stopped for good or have an empty disk than
-    the deployment tolerates: one of three, or two of five.
+    The number of instances that are removed or have an empty disk at a time stays
+    within what the deployment tolerates: one of three, or two of five.
 
     Parameters
     ----------
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -57,6 +57,7 @@
 
 
 def run_all(configuration, directory):
+    """Return the orders of the second tick; the first only starts the refill."""
     orders = OrderTables()
     order_at(0.0, configuration, directory, orders)
     return order_at(1.0, configuration, directory, orders)
--- a/tests/core/test_replica.py
+++ b/tests/core/test_replica.py
@@ -93,6 +93,8 @@
     """Replicate an entry of an old term to a majority, then elect a leader without it.
 
     The new leader overwrites the entry, which is safe only if it was not committed.
+    Returns the cluster, the index of the entry, and the term that a replica on the
+    new leader's side held there before.
     """
     cluster = Cluster(seed=1, size=5, faults=False)
     cluster.heal_and_run(10.0)
