--- a/packages/core/src/bergamotwood_core/watermark.py
+++ b/packages/core/src/bergamotwood_core/watermark.py
@@ -11,7 +11,7 @@
 WINDOW_SIZE = 65_536
 # Incarnations of one instance, and instances, for which windows are kept.
 MAX_INCARNATIONS = 3
-MAX_INSTANCES = 1_024
+MAX_ENTRIES = 1_024
 
 
 class SequenceStatus(Enum):
@@ -101,7 +101,7 @@
         """Mark a request as seen, and return its status before that."""
         windows = self.windows.setdefault(origin.instance, {})
         self.windows.move_to_end(origin.instance)
-        if len(self.windows) > MAX_INSTANCES:
+        if len(self.windows) > MAX_ENTRIES:
             self.windows.popitem(last=False)
         window = windows.get(origin.incarnation)
         if window is not None:
