--- a/packages/core/src/bergamotwood_core/watermark.py
+++ b/packages/core/src/bergamotwood_core/watermark.py
@@ -9,7 +9,7 @@
 
 # How many sequence numbers of an entry, counted back from the newest, are accepted.
 WINDOW_SIZE = 65_536
-# Incarnations of one instance, and instances, for which windows are kept.
+# Incarnations of one entry, and entries, for which windows are kept.
 MAX_INCARNATIONS = 3
 MAX_ENTRIES = 1_024
 
@@ -92,7 +92,7 @@
 
 
 class WindowTable:
-    """Sequence windows of the newest incarnations of each instance."""
+    """Sequence windows of the newest incarnations of each entry."""
 
     def __init__(self) -> None:
         self.windows: OrderedDict[InstanceId, IncarnationWindows] = OrderedDict()
