--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -22,13 +22,13 @@
     _follow_leader(state, message, now)
     if not _fits_log(state, body):
         hint = _find_match_hint(state, body.previous_index)
-        _reply(state, message, body, accepted=False, match=hint, now=now)
+        _send_append_reply(state, message, body, accepted=False, match=hint, now=now)
         return
     _append_missing(state, body.entries)
     match = LogIndex(body.previous_index + len(body.entries))
     state.commit_to(LogIndex(min(body.commit, match)))
     _update_confirmed_at(state, body)
-    _reply(state, message, body, accepted=True, match=match, now=now)
+    _send_append_reply(state, message, body, accepted=True, match=match, now=now)
 
 
 def handle_snapshot_part(
@@ -39,8 +39,10 @@
     if body.index > state.commit:
         received = _add_part(state, body)
         if received < body.size:
-            reply = SnapshotReply(body.index, received, body.sent, state.get_time(now))
-            state.send(message.instance, message.sender, reply)
+            part_reply = SnapshotReply(
+                body.index, received, body.sent, state.get_time(now)
+            )
+            state.send(message.instance, message.sender, part_reply)
             return
         _install(state, body)
     time = state.get_time(now)
@@ -97,12 +99,12 @@
     if body.age is None or body.echo.session != state.session:
         return
     if state.commit >= body.commit:
-        # The leader sent this after the clock reading that it echoes, so on this
-        # clock its confirmed time is at least as late.
+        # The leader sent this after it received the clock reading `echo`. So the
+        # time that it confirms is, on this clock, not before `echo.at - age`.
         state.confirm(Seconds(body.echo.at - body.age))
 
 
-def _reply(
+def _send_append_reply(
     state: ReplicaState,
     message: Message,
     body: AppendRequest,
--- a/packages/core/src/bergamotwood_core/rollout.py
+++ b/packages/core/src/bergamotwood_core/rollout.py
@@ -90,10 +90,11 @@
     stage, stage_seen_at : int, Seconds
         Current stage, and when this leader first saw it.
     test_starts : list of tuple
-        Number and candidate's counts of earlier moments. The harm tests also run
-        from these, so that a candidate that degrades later is detected.
+        Starting points of further harm tests: the number of each, and the
+        candidate's counts at that time. They detect a candidate that degrades
+        later.
     test_start_count : int
-        Number of starting points so far.
+        Number of starting points so far, including those no longer kept.
     """
 
     evidence: RolloutEvidence
@@ -331,8 +332,8 @@
 
 def _list_test_starts(monitor: RolloutMonitor) -> list[tuple[float, ArmCounts]]:
     test_starts = [(FIRST_TEST_START_WEIGHT, ArmCounts())]
-    for order, counts in monitor.test_starts:
-        weight = (1.0 - FIRST_TEST_START_WEIGHT) / (order * (order + 1.0))
+    for number, counts in monitor.test_starts:
+        weight = (1.0 - FIRST_TEST_START_WEIGHT) / (number * (number + 1.0))
         test_starts.append((weight, counts))
     return test_starts
 
--- a/packages/core/src/bergamotwood_core/watermark.py
+++ b/packages/core/src/bergamotwood_core/watermark.py
@@ -7,11 +7,11 @@
 
 from bergamotwood_core.ids import Incarnation, InstanceId, RequestId, Sequence
 
-# Sequence numbers, up to the newest, that are still accepted from an entry.
+# How many sequence numbers of an entry, counted back from the newest, are accepted.
 WINDOW_SIZE = 65_536
-# Incarnations of one instance, and instances, for which windows are kept.
+# Incarnations of one entry, and entries, for which windows are kept.
 MAX_INCARNATIONS = 3
-MAX_INSTANCES = 1_024
+MAX_ENTRIES = 1_024
 
 
 class SequenceStatus(Enum):
@@ -38,7 +38,7 @@
 
 
 def parse_request_id(request: RequestId) -> RequestOrigin | None:
-    """Split a request id into its parts; None if it has not that form."""
+    """Split a request id into its parts; None if it has another form."""
     parts = request.rsplit("-", 2)
     if len(parts) != 3 or not parts[0]:
         return None
@@ -92,7 +92,7 @@
 
 
 class WindowTable:
-    """Sequence windows of the newest incarnations of each instance."""
+    """Sequence windows of the newest incarnations of each entry."""
 
     def __init__(self) -> None:
         self.windows: OrderedDict[InstanceId, IncarnationWindows] = OrderedDict()
@@ -101,7 +101,7 @@
         """Mark a request as seen, and return its status before that."""
         windows = self.windows.setdefault(origin.instance, {})
         self.windows.move_to_end(origin.instance)
-        if len(self.windows) > MAX_INSTANCES:
+        if len(self.windows) > MAX_ENTRIES:
             self.windows.popitem(last=False)
         window = windows.get(origin.incarnation)
         if window is not None:
@@ -123,7 +123,7 @@
         ]
 
     def load(self, stored: list[StoredWindow]) -> None:
-        """Fill an empty table from such a list, keeping its order."""
+        """Fill an empty table from a list that `dump` returned, keeping its order."""
         for item in stored:
             window = SequenceWindow(item.floor, int.from_bytes(item.seen, "little"))
             windows = self.windows.setdefault(item.instance, {})
--- a/tests/core/opencluster.py
+++ b/tests/core/opencluster.py
@@ -3,8 +3,8 @@
 from core.logcluster import Cluster
 from msgspec.structs import replace
 
-INITIAL = 3
-# The values that the gateway sets.
+INITIAL_VOTERS = 3
+# Election timeout and lease that the gateway sets.
 ELECTION_SECONDS = 0.6
 LEASE_SECONDS = 0.45
 
@@ -12,8 +12,8 @@
 class OpenCluster(Cluster):
     """Three initial voters, and spare instances that ask to join.
 
-    No more instances at a time are stopped for good or have an empty disk than
-    the deployment tolerates: one of three, or two of five.
+    The number of instances that are removed or have an empty disk at a time stays
+    within what the deployment tolerates: one of three, or two of five.
 
     Parameters
     ----------
@@ -36,12 +36,12 @@
         self.removed = set()
         self.power_loss_share = power_loss_share
         self.lost_at_once = lost_at_once
-        super().__init__(seed, size=INITIAL + spares, **options)
+        super().__init__(seed, size=INITIAL_VOTERS + spares, **options)
 
     def make_settings(self, node):
         return replace(
             super().make_settings(node),
-            initial_voters=self.names[:INITIAL],
+            initial_voters=self.names[:INITIAL_VOTERS],
             forms_group=not node.lost_disks and node.disk.genesis is None,
             open_membership=True,
             election_seconds=ELECTION_SECONDS,
