--- a/packages/daemon/src/bergamotwood_daemon/admissiongate.py
+++ b/packages/daemon/src/bergamotwood_daemon/admissiongate.py
@@ -16,7 +16,7 @@
 from bergamotwood_core.tables import DirectoryTables, Endpoint, InFlight
 from bergamotwood_daemon.entry import Entry, RequestContext
 
-DISPLACED_RETRY_SECONDS = 1.0
+DROPPED_RETRY_SECONDS = 1.0
 
 
 class AdmissionGate:
@@ -104,9 +104,7 @@
 
     def _refuse_all(self, ids: tuple[RequestId, ...], code: Code) -> None:
         for id in ids:
-            self._waiting[id].set_exception(
-                _make_refusal(code, DISPLACED_RETRY_SECONDS)
-            )
+            self._waiting[id].set_exception(_make_refusal(code, DROPPED_RETRY_SECONDS))
 
 
 @dataclass(slots=True)
@@ -128,9 +126,9 @@
 
 
 def _make_refusal(code: Code, retry_after: float) -> RefusedError:
-    reason = {
+    reasons = {
         Code.WORKSPACE_LIMIT: "the workspace has too many requests in flight",
         Code.DEADLINE_EXCEEDED: "the request cannot start before its deadline",
     }
-    detail = reason.get(code, "too many requests are waiting")
+    detail = reasons.get(code, "too many requests are waiting")
     return RefusedError(detail, code, retry_after=retry_after)
--- a/packages/daemon/src/bergamotwood_daemon/log.py
+++ b/packages/daemon/src/bergamotwood_daemon/log.py
@@ -30,7 +30,7 @@
     log_message(message_type=component, message=f"{component}: {message}", **fields)
 
 
-def log_failure(part: str, sentence: str, **fields: object) -> None:
+def log_failure(component: str, message: str, **fields: object) -> None:
     """Log the exception being handled, with its traceback."""
-    log_event(part, sentence, **fields)
+    log_event(component, message, **fields)
     write_traceback()
