--- a/packages/daemon/src/bergamotwood_daemon/admissiongate.py
+++ b/packages/daemon/src/bergamotwood_daemon/admissiongate.py
@@ -16,6 +16,7 @@
 from bergamotwood_core.tables import DirectoryTables, Endpoint, InFlight
 from bergamotwood_daemon.entry import Entry, RequestContext
 
+# Retry delay given to requests that are displaced or expire in the queue.
 DROPPED_RETRY_SECONDS = 1.0
 
 
@@ -36,6 +37,13 @@
     def acquire(self, context: RequestContext, pool: str) -> None:
         """Wait for a slot of a pool, and count the request as in flight.
 
+        Parameters
+        ----------
+        context : RequestContext
+            State of the request.
+        pool : str
+            Version or service whose endpoints share one limit.
+
         Raises
         ------
         RefusedError
--- a/packages/daemon/src/bergamotwood_daemon/answer.py
+++ b/packages/daemon/src/bergamotwood_daemon/answer.py
@@ -28,6 +28,7 @@
 
 CHAT_PATH = "/v1/chat/completions"
 DONE = b"[DONE]"
+# Prices of versions are per 1,000 tokens.
 TOKENS_PER_PRICE = 1_000.0
 MAX_ERROR_BYTES = 4_096
 
--- a/packages/daemon/src/bergamotwood_daemon/attempts.py
+++ b/packages/daemon/src/bergamotwood_daemon/attempts.py
@@ -50,7 +50,8 @@
     body : bytes
         Request body.
     wait_seconds : float
-        Longest time without data until the answer begins.
+        Longest time without data until the answer begins; for plain services until
+        it ends.
     """
 
     method: str
@@ -69,6 +70,10 @@
         HTTP call to the endpoint.
     endpoint_id : EndpointId
         The endpoint that runs the request.
+    incarnation : Incarnation
+        Start of the endpoint that the request was sent to.
+    started_at : Seconds
+        Time of the dispatch.
     first_token_seconds : float or None
         Time from dispatch to the first token; None before the first token.
     """
@@ -96,7 +101,7 @@
         record_start(endpoint, self.started_at)
 
     def isolate(self) -> bool:
-        """Reserve the endpoint for this suspect; False if another one is running."""
+        """Reserve the endpoint for this suspect; return False if either is in use."""
         self._isolated = self._entry.isolation.start(
             self._context.fingerprint, self.endpoint_id
         )
--- a/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -41,7 +41,7 @@
     key : EstimateKey
         Estimate that ratings of the answer update.
     score : float or None
-        Rating from before the answer was returned; None without one.
+        Rating by which the answer was accepted or rejected; None if not rated yet.
     """
 
     answer: VersionAnswer
--- a/packages/daemon/src/bergamotwood_daemon/chat.py
+++ b/packages/daemon/src/bergamotwood_daemon/chat.py
@@ -71,6 +71,7 @@
         index = self._entry.watch.applied
         self._admission_gate.acquire(call.context, plan.steps[0].version)
         try:
+            # The configuration may have changed while the request waited.
             if self._entry.watch.applied != index:
                 plan = self._cascade_runner.plan(call)
         except BaseException:
--- a/packages/daemon/src/bergamotwood_daemon/controlfeed.py
+++ b/packages/daemon/src/bergamotwood_daemon/controlfeed.py
@@ -1,4 +1,4 @@
-"""Feed of applied control commands, through which entries follow the log."""
+"""Feed of applied control commands, through which instances follow the log."""
 
 from collections import deque
 
@@ -10,7 +10,7 @@
 
 
 class ControlFeed:
-    """A control state machine that keeps its newest commands for entries.
+    """A control state machine that keeps its newest commands for instances that poll.
 
     Attributes
     ----------
@@ -27,7 +27,7 @@
         self._compacted_index = LogIndex(0)
 
     def apply(self, index: LogIndex, command: bytes) -> bytes:
-        """Apply a command and keep it for entries."""
+        """Apply a command and keep it for instances that poll."""
         answer = self.machine.apply(index, command)
         if len(self._changes) == MAX_KEPT_CHANGES:
             self._compacted_index = self._changes[0].index
--- a/packages/daemon/src/bergamotwood_daemon/controlreplica.py
+++ b/packages/daemon/src/bergamotwood_daemon/controlreplica.py
@@ -40,6 +40,7 @@
 
 CONTROL_GROUP = "control"
 LEDGER_GROUP = "ledger-0"
+# Longest time that a poll waits for changes before it is answered.
 MAX_HOLD_SECONDS = 1.0
 
 
@@ -55,7 +56,7 @@
     ledger_machine : LedgerMachine
         State machine of the ledger group.
     directory : DirectoryFeed
-        Soft state: endpoints, entries and ratings.
+        Soft state: endpoints, entry instances and ratings.
     peers : dict of InstanceId to PeerChannel
         Channels to the other control replicas.
     clock : callable
@@ -150,7 +151,7 @@
         return ENCODER.encode(self._build_reply(request))
 
     def expire(self, now: Seconds) -> None:
-        """Remove expired endpoints and entries from the directory."""
+        """Remove expired endpoints and entry instances from the directory."""
         self.directory.expire(now)
 
     def _run_query(self, query: Query) -> object:
--- a/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
+++ b/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
@@ -16,7 +16,8 @@
 from bergamotwood_core.tables import DirectoryTables
 
 MAX_KEPT_EVIDENCE = 256
-# Minimum time between two reports of an entry for watchers, unless its state changed.
+# Watchers get the reports of an entry instance at most this often, unless its state
+# changed.
 ENTRY_REPORT_INTERVAL_SECONDS = 1.5
 
 
@@ -97,7 +98,10 @@
         return True
 
     def list_changes(self, boot: str, cursor: int) -> DirectoryChanges:
-        """Return the changes after a watcher's cursor."""
+        """Return the changes after a watcher's cursor.
+
+        A cursor of another start of the replica gets the whole directory.
+        """
         if boot != self.boot:
             cursor = 0
         endpoints = self.tables.endpoints
--- a/packages/daemon/src/bergamotwood_daemon/discovery.py
+++ b/packages/daemon/src/bergamotwood_daemon/discovery.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for announcements of endpoints and for the list of entries."""
+"""HTTP handlers for announcements of endpoints and for the list of entry instances."""
 
 from msgspec import Struct
 
@@ -14,7 +14,7 @@
 from bergamotwood_daemon.web import Response, WebRequest, answer_json
 
 MAX_ADDRESSES = 16
-# Entries that lag further behind in the control log are listed after the others.
+# Entry instances that lag further behind in the control log are listed last.
 MAX_INDEX_LAG = 64
 
 
@@ -25,7 +25,7 @@
 
 
 class EntryAddress(Struct):
-    """One entry that a caller may use."""
+    """An entry instance that a caller may use."""
 
     id: InstanceId
     address: str
@@ -33,7 +33,7 @@
 
 
 class AddressList(Struct):
-    """Entries to use, the best first, and how long the list may be cached."""
+    """Entry instances to use, the best first, and how long the list may be cached."""
 
     addresses: list[EntryAddress]
     ttl_seconds: int
--- a/packages/daemon/src/bergamotwood_daemon/endpointcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/endpointcall.py
@@ -90,7 +90,13 @@
         self._socket.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
     def send(self, timeout_seconds: float) -> None:
-        """Write the request and read the response's header fields."""
+        """Write the request and read the response's header fields.
+
+        Raises
+        ------
+        EndpointError
+            The connection broke, or no data arrived in time.
+        """
         self._socket.settimeout(timeout_seconds)
         self.dispatched = True
         try:
--- a/packages/daemon/src/bergamotwood_daemon/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/entry.py
@@ -63,6 +63,17 @@
         Source of spans.
     incarnation : int
         Distinguishes the starts of this daemon.
+    retry_budget : RetryBudget
+        Limits how many failed requests are sent again.
+    isolation : Isolation
+        Suspects that run now, at most one on each endpoint.
+    finished_requests : FinishedRequests
+        Fingerprints of requests that ran to their end once; a crash is no evidence
+        against them.
+    draining : bool
+        Whether a graceful shutdown has begun.
+    sequence : int
+        Number of request ids made since the start.
     """
 
     settings: Settings
--- a/packages/daemon/src/bergamotwood_daemon/groupsettings.py
+++ b/packages/daemon/src/bergamotwood_daemon/groupsettings.py
@@ -35,10 +35,10 @@
     lease_seconds : float
         Duration of the leader lease; less than `election_seconds`.
     snapshot_entries : int
-        Number of entries after which a snapshot replaces the log on disk, once the
+        Number of log entries after which a snapshot replaces the log on disk, once the
         log is as large as the previous snapshot.
     kept_entries : int
-        Number of entries before a snapshot that stay in memory, for followers.
+        Number of log entries before a snapshot that stay in memory, for followers.
     inbox_limit : int
         Maximum number of queued inputs.
     command_bytes : int
--- a/packages/daemon/src/bergamotwood_daemon/logwriter.py
+++ b/packages/daemon/src/bergamotwood_daemon/logwriter.py
@@ -12,7 +12,8 @@
 from gevent import get_hub
 from msgspec import json
 
-# Maximum number of queued lines: over a minute at 50 lines a second, a heavy load.
+# Maximum number of queued lines: over a minute of the heaviest day's load of 50
+# lines a second.
 MAX_QUEUED_LINES = 4_096
 # Queue length at which routine lines are dropped, to leave room for others.
 MAX_QUEUED_ROUTINE_LINES = MAX_QUEUED_LINES // 2
--- a/packages/daemon/src/bergamotwood_daemon/metrics.py
+++ b/packages/daemon/src/bergamotwood_daemon/metrics.py
@@ -10,6 +10,7 @@
 from bergamotwood_daemon.web import Response, WebRequest
 
 NO_LABELS: dict[str, str] = {}
+# Reported in place of an infinite age, before the first confirmation.
 UNKNOWN_AGE_SECONDS = 1e9
 
 
--- a/packages/daemon/src/bergamotwood_daemon/relay.py
+++ b/packages/daemon/src/bergamotwood_daemon/relay.py
@@ -21,7 +21,10 @@
 
 
 class Relay:
-    """Sends updates to one other replica, and only the newest one of each sender.
+    """Sends updates to one other replica.
+
+    An update that waits to be sent is replaced by a newer one of the same endpoint,
+    entry instance or roll-out.
 
     Parameters
     ----------
--- a/packages/daemon/src/bergamotwood_daemon/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/settings.py
@@ -78,11 +78,13 @@
     connect : float
         Connecting to an endpoint.
     first_chunk, next_chunk : float
-        Waiting for the first chunk of an answer, and for each later one.
+        Silence before the first chunk of an answer, and between later ones.
     call : float
-        Time that a caller is kept waiting for a non-idempotent request.
+        Wait of a caller for a non-idempotent request to a plain service, and silence
+        of the endpoint after which an idempotent one has failed.
     late : float
-        Silence after which the answer of a plain service is abandoned.
+        Silence of the endpoint after which a non-idempotent request to a plain
+        service has failed; it may run on after its caller's wait.
     ledger : float
         Waiting for the ledger to commit.
     request : float
--- a/packages/daemon/src/bergamotwood_daemon/watch.py
+++ b/packages/daemon/src/bergamotwood_daemon/watch.py
@@ -19,11 +19,13 @@
 from bergamotwood_daemon.peer import POLL, PeerChannel
 from bergamotwood_daemon.wire import ENCODER, POLL_REPLY, PollReply, PollRequest
 
+# Longest time that a replica may wait for changes before it answers a poll.
 HOLD_SECONDS = 0.5
 POLL_TIMEOUT_SECONDS = 1.5
 # Minimum time between two urgent reports.
 MIN_REPORT_INTERVAL_SECONDS = 0.1
 REPORT_TIMEOUT_SECONDS = 1.0
+# If a replica's state may be older, the next poll goes to another replica.
 MAX_USEFUL_AGE_SECONDS = 2.0
 MIN_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 1.0
--- a/tests/daemon/test_watch.py
+++ b/tests/daemon/test_watch.py
@@ -156,7 +156,6 @@
 
 
 def make_announcement():
-
     return Announcement(
         "e1", 1, 1, Address("127.0.0.1", 2), "karen", EndpointKind.MODEL
     )
--- a/tests/platform/test_api.py
+++ b/tests/platform/test_api.py
@@ -52,7 +52,7 @@
         self.recorded.append(arguments)
 
     def record_heartbeat(self, heartbeat):
-        self._record("beat", heartbeat)
+        self._record("heartbeat", heartbeat)
 
     def record_departure(self, endpoint, incarnation, state):
         self._record("departure", endpoint, incarnation, state)
