--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -13,13 +13,13 @@
     SHARED_DIFFICULTY,
     Drift,
     Floats,
-    RatingTerms,
+    RatingSettings,
     Workload,
-    move_chances,
+    draw_probabilities,
 )
 
 # Spread of the logarithm of token counts and of times.
-SIZE_SPREAD = 0.3
+LOGNORMAL_SIGMA = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
         Seconds to the first token and to the end, by request and version.
     costs : ndarray
         Cost units by request and version.
-    chances : ndarray
+    probabilities : ndarray
         True chance of a good answer by request, class and version.
     """
 
@@ -54,57 +54,71 @@
     first_tokens: Floats
     totals: Floats
     costs: Floats
-    chances: Floats
+    probabilities: Floats
 
 
-def draw_qualities(chances: Floats, rng: np.random.Generator) -> Floats:
+def draw_qualities(probabilities: Floats, rng: np.random.Generator) -> Floats:
     """Draw the true quality of one answer for each request and version."""
-    shared = rng.standard_normal((chances.shape[0], 1)) * np.sqrt(SHARED_DIFFICULTY)
-    own = rng.standard_normal(chances.shape) * np.sqrt(1.0 - SHARED_DIFFICULTY)
-    good = shared + own < ndtri(chances)
+    shared = rng.standard_normal((probabilities.shape[0], 1)) * np.sqrt(
+        SHARED_DIFFICULTY
+    )
+    own = rng.standard_normal(probabilities.shape) * np.sqrt(1.0 - SHARED_DIFFICULTY)
+    good = shared + own < ndtri(probabilities)
     means = np.where(good, GOOD_QUALITY, POOR_QUALITY)
     precision = np.where(good, GOOD_PRECISION, POOR_PRECISION)
     return rng.beta(means * precision, (1.0 - means) * precision)
 
 
 def draw_scores(
-    qualities: Floats, terms: RatingTerms, rng: np.random.Generator
+    qualities: Floats, rating_settings: RatingSettings, rng: np.random.Generator
 ) -> Floats:
     """Draw a score for each answer, with the true quality as its mean."""
     bounded = np.clip(qualities, 1e-3, 1.0 - 1e-3)
-    return rng.beta(bounded * terms.precision, (1.0 - bounded) * terms.precision)
+    return rng.beta(
+        bounded * rating_settings.precision, (1.0 - bounded) * rating_settings.precision
+    )
 
 
 def draw_answers(
-    workload: Workload, drift: Drift, terms: RatingTerms, count: int, seed: int
+    workload: Workload,
+    drift: Drift,
+    rating_settings: RatingSettings,
+    count: int,
+    seed: int,
 ) -> Answers:
     """Draw a whole run."""
     rng = np.random.default_rng(seed)
     shares = [traits.share for traits in workload.classes]
     classes = rng.choice(len(shares), size=count, p=shares)
-    chances = move_chances(workload, drift, count, rng)
-    qualities = draw_qualities(chances[np.arange(count), classes], rng)
+    probabilities = draw_probabilities(workload, drift, count, rng)
+    qualities = draw_qualities(probabilities[np.arange(count), classes], rng)
     shape = qualities.shape
-    sizes = np.array([traits.prompt_tokens for traits in workload.classes])
-    prompts = np.round(sizes[classes] * rng.lognormal(0.0, SIZE_SPREAD, count))
-    lengths = np.array([traits.output_tokens for traits in workload.classes])
-    outputs = lengths[classes][:, None] * rng.lognormal(0.0, SIZE_SPREAD, shape)
+    prompt_means = np.array([traits.prompt_tokens for traits in workload.classes])
+    prompts = np.round(
+        prompt_means[classes] * rng.lognormal(0.0, LOGNORMAL_SIGMA, count)
+    )
+    output_means = np.array([traits.output_tokens for traits in workload.classes])
+    outputs = output_means[classes][:, None] * rng.lognormal(
+        0.0, LOGNORMAL_SIGMA, shape
+    )
     outputs = np.round(outputs)
-    first = np.array([v.first_token_seconds for v in workload.versions])
-    speeds = np.array([v.token_seconds for v in workload.versions])
-    first_tokens = first[None, :] * rng.lognormal(0.0, SIZE_SPREAD, shape)
-    inputs = np.array([v.input_price for v in workload.versions])
-    prices = np.array([v.output_price for v in workload.versions])
+    first_token_means = np.array([v.first_token_seconds for v in workload.versions])
+    token_seconds = np.array([v.token_seconds for v in workload.versions])
+    first_tokens = first_token_means[None, :] * rng.lognormal(
+        0.0, LOGNORMAL_SIGMA, shape
+    )
+    input_prices = np.array([v.input_price for v in workload.versions])
+    output_prices = np.array([v.output_price for v in workload.versions])
     return Answers(
         classes=classes,
         times=np.cumsum(rng.exponential(1.0 / workload.requests_per_second, count)),
         prompts=prompts,
         outputs=outputs,
         qualities=qualities,
-        first_scores=draw_scores(qualities, terms, rng),
-        second_scores=draw_scores(qualities, terms, rng),
+        first_scores=draw_scores(qualities, rating_settings, rng),
+        second_scores=draw_scores(qualities, rating_settings, rng),
         first_tokens=first_tokens,
-        totals=first_tokens + outputs * speeds[None, :],
-        costs=(prompts[:, None] * inputs + outputs * prices) / 1_000.0,
-        chances=chances,
+        totals=first_tokens + outputs * token_seconds[None, :],
+        costs=(prompts[:, None] * input_prices + outputs * output_prices) / 1_000.0,
+        probabilities=probabilities,
     )
--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -6,9 +6,9 @@
 from itertools import count
 from random import Random
 
-from benchmarks.agenda import Agenda
-from benchmarks.batching import BatchingEngine, Generation, Work
-from benchmarks.deployment import LARGE, MIDDLE, MODELS, SMALL, Kind, Site
+from benchmarks.batching import BatchingEngine, Generation, PrefillCounters
+from benchmarks.deployment import LARGE, MIDDLE, MODELS, SMALL, RequestKind, Site
+from benchmarks.simulation import Simulation
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.call import Call, PromptPart, RequestMetadata
 from bergamotwood_core.gateway.configuration import (
@@ -40,24 +40,26 @@
 CONFIDENCE_SPREAD = 0.12
 # Age of reported loads: half of an entry's time between two questions, and a way.
 REPORT_SECONDS = 0.4
-CENTRES = tuple(DataCentre(f"dc{at}") for at in range(4))
+DATA_CENTRES = tuple(DataCentre(f"dc{index}") for index in range(4))
 SERVICE = ServiceName("pool")
 # Time of one send between an entry and an engine, and back.
-TRIP_SECONDS = 0.002
-WARM_SECONDS = 5.0
+ROUND_TRIP_SECONDS = 0.002
+WARMUP_SECONDS = 5.0
 
 
 @dataclass
 class Result:
     """What callers got."""
 
-    owed: float = 0.0
-    earned: float = 0.0
+    total_value: float = 0.0
+    earned_value: float = 0.0
     counts: Counter[str] = field(default_factory=Counter)
-    heads: list[float] = field(default_factory=list)
+    first_event_times: list[float] = field(default_factory=list)
 
 
-Choose = Callable[["Entry", list[EndpointHeartbeat], Call, Seconds], Candidate | None]
+ChooseEndpoint = Callable[
+    ["Entry", list[EndpointHeartbeat], Call, Seconds], Candidate | None
+]
 
 
 class Entry:
@@ -66,13 +68,13 @@
     def __init__(self, number: int, rng: Random) -> None:
         self.loads = LoadTable()
         self.health = HealthTable()
-        self.pace = LatencyTable()
-        self.home = CENTRES[number % len(CENTRES)]
-        self.placement = Placement(self.home, self.health, self.loads.find, rng)
+        self.latencies = LatencyTable()
+        self.data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
+        self.placement = Placement(self.data_centre, self.health, self.loads.find, rng)
         self.rng = rng
 
 
-class Play:
+class SiteRun:
     """One run of a site.
 
     Parameters
@@ -87,7 +89,7 @@
         Models that may be used.
     load : float
         Requests, as a part of the site's.
-    replaced_at, replaced_part : float
+    replaced_at, replaced_share : float
         When a part of the engines is replaced by empty ones.
     restarted_at : float
         When all entries lose what they know; 0 for never.
@@ -97,11 +99,11 @@
         self,
         site: Site,
         seed: int,
-        choose: Choose,
+        choose: ChooseEndpoint,
         models: tuple[ModelName, ...] = MODELS,
         load: float = 1.0,
         replaced_at: float = 20.0,
-        replaced_part: float = 0.35,
+        replaced_share: float = 0.35,
         restarted_at: float = 0.0,
     ) -> None:
         self.site = site
@@ -110,48 +112,55 @@
         self.load = load
         self.seed = seed
         self.rng = Random(seed)
-        self.agenda = Agenda()
+        self.simulation = Simulation()
         self.result = Result()
-        self.work = Work()
-        self.ids = count()
-        self.open: set[Request] = set()
+        self.prefill_counters = PrefillCounters()
+        self.numbers = count()
+        self.open_requests: set[Request] = set()
         self.entries = self._make_entries()
         self.engines: dict[EndpointId, BatchingEngine] = {}
-        self.beats: list[EndpointHeartbeat] = []
-        self.replaced_part = replaced_part
+        self.heartbeats: list[EndpointHeartbeat] = []
+        self.replaced_share = replaced_share
         for _ in range(site.engines):
             self._add_engine()
-        self.agenda.add(replaced_at, self._replace_engines)
+        self.simulation.schedule(replaced_at, self._replace_engines)
         if restarted_at:
-            self.agenda.add(restarted_at, self.restart_entries)
+            self.simulation.schedule(restarted_at, self.restart_entries)
 
     def run(self, seconds: float) -> None:
         """Play callers for a time, and end what they began."""
         for kind in self.site.kinds:
-            self._schedule(kind, seconds)
-        self.agenda.repeat(REPORT_SECONDS, self._report, seconds + 30.0)
-        self.agenda.run(seconds + 30.0)
+            self._schedule_arrival(kind, seconds)
+        self.simulation.schedule_every(
+            REPORT_SECONDS, self._exchange_loads, seconds + 30.0
+        )
+        self.simulation.run(seconds + 30.0)
 
     def restart_entries(self) -> None:
         """Lose every entry at once; engines go on with what they have."""
-        for request in list(self.open):
-            request.lose()
+        for request in list(self.open_requests):
+            request.abort()
         self.entries = self._make_entries()
 
     def _make_entries(self) -> list[Entry]:
-        return [Entry(at, Random(self.seed + at)) for at in range(self.site.entries)]
+        return [
+            Entry(index, Random(self.seed + index))
+            for index in range(self.site.entries)
+        ]
 
     def _add_engine(self) -> None:
-        name = EndpointId(f"e{next(self.ids)}")
-        self.engines[name] = BatchingEngine(self.agenda, self.site.engine, self.work)
-        self.beats.append(
+        name = EndpointId(f"e{next(self.numbers)}")
+        self.engines[name] = BatchingEngine(
+            self.simulation, self.site.engine, self.prefill_counters
+        )
+        self.heartbeats.append(
             EndpointHeartbeat(
                 endpoint=name,
                 incarnation=Incarnation(1),
                 sequence=Sequence(1),
                 service=SERVICE,
                 address=name,
-                data_centre=CENTRES[len(self.beats) % len(CENTRES)],
+                data_centre=DATA_CENTRES[len(self.heartbeats) % len(DATA_CENTRES)],
                 state=EndpointState.SERVING,
                 models=MODELS,
                 slots=self.site.engine.slots,
@@ -160,22 +169,22 @@
 
     def _replace_engines(self) -> None:
         """Replace engines one after the other; running requests end at the old."""
-        for _ in range(int(self.replaced_part * self.site.engines)):
-            self.beats.pop(0)
+        for _ in range(int(self.replaced_share * self.site.engines)):
+            self.heartbeats.pop(0)
             self._add_engine()
 
-    def _schedule(self, kind: Kind, seconds: float) -> None:
-        wait = self.rng.expovariate(kind.rate * self.load)
-        if self.agenda.now + wait > seconds:
+    def _schedule_arrival(self, kind: RequestKind, seconds: float) -> None:
+        delay = self.rng.expovariate(kind.rate * self.load)
+        if self.simulation.now + delay > seconds:
             return
 
         def arrive() -> None:
             Request(self, kind).send()
-            self._schedule(kind, seconds)
+            self._schedule_arrival(kind, seconds)
 
-        self.agenda.add(wait, arrive)
+        self.simulation.schedule(delay, arrive)
 
-    def _report(self) -> None:
+    def _exchange_loads(self) -> None:
         """Tell each entry what the others had a moment ago."""
         reports = [entry.loads.list_own() for entry in self.entries]
         total = LoadSum()
@@ -188,29 +197,35 @@
 class Request:
     """One caller's request through the models."""
 
-    def __init__(self, play: Play, kind: Kind) -> None:
-        rng = play.rng
-        self.play = play
+    def __init__(self, site_run: SiteRun, kind: RequestKind) -> None:
+        rng = site_run.rng
+        self.site_run = site_run
         self.kind = kind
-        self.entry = rng.choice(play.entries)
-        self.events = max(1, round(draw(rng, kind.events, kind.events_spread, 4.0)))
-        own = max(1, round(draw(rng, kind.own_tokens, 1.0, 14.0)))
-        subject = min(int(kind.subjects * rng.random() ** 1.3), kind.subjects - 1)
-        shared = Random(f"{kind.name}{subject}")
-        tokens = max(1, round(draw(shared, kind.shared_tokens, 0.7, 3.0)))
-        number = next(play.ids)
+        self.entry = rng.choice(site_run.entries)
+        self.events = max(
+            1, round(draw_length(rng, kind.events, kind.events_spread, 4.0))
+        )
+        own_tokens = max(1, round(draw_length(rng, kind.own_tokens, 1.0, 14.0)))
+        prefix_index = min(
+            int(kind.shared_prefixes * rng.random() ** 1.3), kind.shared_prefixes - 1
+        )
+        prefix_rng = Random(f"{kind.name}{prefix_index}")
+        prefix_tokens = max(
+            1, round(draw_length(prefix_rng, kind.shared_tokens, 0.7, 3.0))
+        )
+        number = next(site_run.numbers)
         prompt = (
-            PromptPart(f"{kind.name}{subject}", tokens),
-            PromptPart(f"q{number}", own),
+            PromptPart(f"{kind.name}{prefix_index}", prefix_tokens),
+            PromptPart(f"q{number}", own_tokens),
         )
-        self.hardness = Random(f"{play.seed}{number}").random()
-        self.started_at = play.agenda.now
-        expected = self.events * play.site.engine.event_tokens
+        self.difficulty = Random(f"{site_run.seed}{number}").random()
+        self.started_at = site_run.simulation.now
+        expected = self.events * site_run.site.engine.event_tokens
         self.call = Call(
             terms=RequestMetadata(
                 request=RequestId(f"q{number}"),
                 leaves_model_open=True,
-                prompt_tokens=tokens + own,
+                prompt_tokens=prefix_tokens + own_tokens,
                 expected_tokens=int(expected * rng.lognormvariate(0.0, 0.5)) + 1,
                 prompt=prompt,
             ),
@@ -220,138 +235,140 @@
             received_at=self.started_at,
             deadline=Seconds(self.started_at + kind.deadline),
             fingerprint=Fingerprint(""),
-            model=play.models[0],
+            model=site_run.models[0],
         )
         self.is_late = False
-        self.last_at = self.started_at
+        self.last_event_at = self.started_at
         self.generation: Generation | None = None
-        size = (tokens + own) / (kind.shared_tokens + kind.own_tokens)
-        self.worth = kind.worth * min(0.3 + 0.7 * size, 4.0)
+        size = (prefix_tokens + own_tokens) / (kind.shared_tokens + kind.own_tokens)
+        self.value = kind.value * min(0.3 + 0.7 * size, 4.0)
 
     @property
     def is_measured(self) -> bool:
         """Whether it came after the caches had filled."""
-        return self.started_at >= WARM_SECONDS
+        return self.started_at >= WARMUP_SECONDS
 
     def send(self) -> None:
         """Send it to an engine."""
-        self.play.open.add(self)
-        play, entry, call = self.play, self.entry, self.call
-        now = play.agenda.now
-        candidate = play.choose(entry, play.beats, call, now)
+        self.site_run.open_requests.add(self)
+        site_run, entry, call = self.site_run, self.entry, self.call
+        now = site_run.simulation.now
+        candidate = site_run.choose(entry, site_run.heartbeats, call, now)
         if candidate is None:
-            self._count("failed", is_good=False)
+            self._record_outcome("failed", is_good=False)
             return
         self.candidate = candidate
         self.sent_at = now
         endpoint = candidate.heartbeat.endpoint
-        reading = entry.placement.estimate_prefill(candidate, call)
-        entry.loads.add_request(endpoint, call.terms.request, reading)
+        prefill = entry.placement.estimate_prefill(candidate, call)
+        entry.loads.add_request(endpoint, call.terms.request, prefill)
         entry.placement.record_send(candidate, call)
-        self.engine = play.engines[endpoint]
+        self.engine = site_run.engines[endpoint]
         self.generation = Generation(
-            call.model, call.terms.prompt, self.events, self._take_event
+            call.model, call.terms.prompt, self.events, self._handle_event
         )
         generation = self.generation
-        play.agenda.add(TRIP_SECONDS, lambda: self.engine.submit(generation))
-        left = call.deadline - now
-        play.agenda.add(left, lambda: self._give_up(generation))
+        site_run.simulation.schedule(
+            ROUND_TRIP_SECONDS, lambda: self.engine.submit(generation)
+        )
+        remaining = call.deadline - now
+        site_run.simulation.schedule(remaining, lambda: self._time_out(generation))
 
-    def _take_event(self, generation: Generation) -> None:
+    def _handle_event(self, generation: Generation) -> None:
         if generation is not self.generation:
             return
-        now = self.play.agenda.now
+        now = self.site_run.simulation.now
         if generation.tokens == 1:
-            self._begin(now)
+            self._handle_first_event(now)
             if self.generation is not generation:
                 return
-        elif now - self.last_at > self.kind.gap:
+        elif now - self.last_event_at > self.kind.event_gap:
             self.is_late = True
-        self.last_at = now
-        if generation.is_over:
-            self._end(now)
+        self.last_event_at = now
+        if generation.is_finished:
+            self._finish(now)
 
-    def _begin(self, now: Seconds) -> None:
+    def _handle_first_event(self, now: Seconds) -> None:
         entry, call = self.entry, self.call
         endpoint = self.candidate.heartbeat.endpoint
         entry.loads.mark_prefilled(endpoint, call.terms.request)
         entry.placement.record_answer_start(self.candidate, call, now - self.sent_at)
-        self.head_seconds = now - self.sent_at
-        larger = choose_next_model(
-            self.play.models,
-            set(self.play.models),
+        self.first_event_seconds = now - self.sent_at
+        next_model = choose_next_model(
+            self.site_run.models,
+            set(self.site_run.models),
             call.model,
             self._draw_confidence(),
-            lambda model: self._has_time(model, now),
+            lambda model: self._can_finish(model, now),
         )
-        if larger is not None:
+        if next_model is not None:
             self.engine.cancel(self.generation)
             entry.loads.remove_request(endpoint, call.terms.request)
-            call.model = larger
+            call.model = next_model
             call.tried.append(endpoint)
             self.send()
             return
         self.is_late = now - self.started_at > self.kind.objective
         if self.is_measured:
-            self.play.result.heads.append(now - self.started_at)
+            self.site_run.result.first_event_times.append(now - self.started_at)
 
     def _draw_confidence(self) -> float:
-        mean = 0.75 if self.hardness < QUALITY[self.call.model] else 0.25
-        return min(max(self.play.rng.gauss(mean, CONFIDENCE_SPREAD), 0.0), 1.0)
+        mean = 0.75 if self.difficulty < QUALITY[self.call.model] else 0.25
+        return min(max(self.site_run.rng.gauss(mean, CONFIDENCE_SPREAD), 0.0), 1.0)
 
-    def _has_time(self, model: ModelName, now: Seconds) -> bool:
+    def _can_finish(self, model: ModelName, now: Seconds) -> bool:
         call = self.call
-        seconds = self.entry.pace.estimate(
+        seconds = self.entry.latencies.estimate(
             call.route.name, model, call.terms.expected_tokens
         )
         return can_finish_in_time(seconds, call.deadline - now)
 
-    def _end(self, now: Seconds) -> None:
+    def _finish(self, now: Seconds) -> None:
         entry, call = self.entry, self.call
         entry.loads.remove_request(
             self.candidate.heartbeat.endpoint, call.terms.request
         )
-        timing = Timing(self.head_seconds, now - self.sent_at, self.events)
-        entry.pace.record(
+        timing = Timing(self.first_event_seconds, now - self.sent_at, self.events)
+        entry.latencies.record(
             call.route.name, call.model, timing, call.terms.expected_tokens
         )
-        is_good = self.hardness < QUALITY[call.model]
-        self._count("late" if self.is_late else "in time", is_good)
+        is_good = self.difficulty < QUALITY[call.model]
+        self._record_outcome("late" if self.is_late else "in time", is_good)
 
-    def _give_up(self, generation: Generation) -> None:
-        if generation.is_over or generation is not self.generation:
+    def _time_out(self, generation: Generation) -> None:
+        if generation.is_finished or generation is not self.generation:
             return
         self.engine.cancel(generation)
         self.entry.loads.remove_request(
             self.candidate.heartbeat.endpoint, self.call.terms.request
         )
-        self._count("failed", is_good=False)
+        self._record_outcome("failed", is_good=False)
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         """Fail with the entry; the engine is not told."""
         self.generation = None
-        self._count("failed", is_good=False)
+        self._record_outcome("failed", is_good=False)
 
-    def _count(self, outcome: str, is_good: bool) -> None:
-        self.play.open.discard(self)
+    def _record_outcome(self, outcome: str, is_good: bool) -> None:
+        self.site_run.open_requests.discard(self)
         if not self.is_measured:
             return
-        result = self.play.result
-        result.owed += self.worth
+        result = self.site_run.result
+        result.total_value += self.value
         result.counts[outcome] += 1
         result.counts[self.call.model] += 1
         if outcome != "failed":
-            part = 0.3 if outcome == "late" else 1.0
-            result.earned += self.worth * part * (1.0 if is_good else 0.05)
+            weight = 0.3 if outcome == "late" else 1.0
+            result.earned_value += self.value * weight * (1.0 if is_good else 0.05)
 
 
-def draw(rng: Random, mean: float, spread: float, most: float) -> float:
+def draw_length(rng: Random, mean: float, spread: float, max_ratio: float) -> float:
     """Draw a lognormal length with a mean, cut at a multiple of it."""
     value = rng.lognormvariate(-spread * spread / 2, spread) * mean
-    return min(value, most * mean)
+    return min(value, max_ratio * mean)
 
 
-def make_route(kind: Kind) -> ServiceRoute:
+def make_route(kind: RequestKind) -> ServiceRoute:
     """Make the route of a kind of request."""
     return ServiceRoute(
         name=kind.name,
@@ -361,7 +378,7 @@
         destinations=(Destination(SERVICE, 1.0),),
         timeout_seconds=kind.deadline,
         objective_seconds=kind.objective,
-        event_gap_seconds=kind.gap,
+        event_gap_seconds=kind.event_gap,
         max_attempts=3,
         models=MODELS,
         resumable=True,
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -14,7 +14,7 @@
 from grpc.experimental.gevent import init_gevent
 from msgspec.structs import replace
 
-from benchmarks.figures import Row, write_figures
+from benchmarks.report import Row, write_report
 from bergamotwood_core.cascade import CascadePolicy, CascadeSettings
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Model, Ticket, Version, Workspace
@@ -33,7 +33,7 @@
 POLLS = 40
 CALLS = 400
 REPLICAS = 7
-CENTRES = 9
+DATA_CENTRES = 9
 TARGET_CHANGES_A_DAY = 2_700
 DAY_SECONDS = 86_400.0
 
@@ -50,7 +50,7 @@
 SHORT_SIZES = (Size(9, 15), Size(50, 100))
 
 
-class Replica:
+class InProcessReplica:
     """A control replica's feed, reached without a network."""
 
     def __init__(self, size: Size) -> None:
@@ -58,16 +58,18 @@
         self.size = size
         self.now = Seconds(0.0)
         self.sequence = 0
-        self.seconds = 0.0
+        self.cpu_seconds = 0.0
         self.request_bytes = 0
         self.reply_bytes = 0
 
-    def speak(self) -> None:
+    def advance(self) -> None:
         """Let every endpoint and entry say one word more."""
         self.sequence += 1
         self.now = Seconds(self.now + HOLD_SECONDS)
         for number in range(self.size.endpoints):
-            self.feed.record_announcement(make_word(number, self.sequence), self.now)
+            self.feed.record_announcement(
+                make_announcement(number, self.sequence), self.now
+            )
         for number in range(self.size.entries):
             self.feed.record_report(make_report(number, self.sequence), self.now)
 
@@ -75,7 +77,7 @@
         """Answer a poll, and count its bytes and processor time."""
         started = process_time()
         request = POLL_REQUEST.decode(body)
-        news = self.feed.list_changes(request.boot, request.cursor)
+        update = self.feed.list_changes(request.boot, request.cursor)
         reply = ENCODER.encode(
             PollReply(
                 age_seconds=0.1,
@@ -83,19 +85,19 @@
                 snapshot=None,
                 changes=(),
                 boot=self.feed.boot,
-                cursor=news.cursor,
-                announcements=news.announcements,
-                loads=news.loads,
-                reports=news.reports,
+                cursor=update.cursor,
+                announcements=update.announcements,
+                loads=update.loads,
+                reports=update.reports,
             )
         )
-        self.seconds += process_time() - started
+        self.cpu_seconds += process_time() - started
         self.request_bytes += len(body)
         self.reply_bytes += len(reply)
         return reply
 
 
-class Echo:
+class EchoHandler:
     """Answers calls with what they carry."""
 
     def handle_poll(self, body: bytes) -> bytes:
@@ -105,14 +107,14 @@
     handle_replicate = handle_propose = handle_query = handle_poll
 
 
-def make_word(number: int, sequence: int) -> Announcement:
+def make_announcement(number: int, sequence: int) -> Announcement:
     """Make an endpoint's announcement, with a load that changes."""
     return Announcement(
         f"endpoint-{number}",
         1_796_333_475_512_430,
         sequence,
         Address("10.0.0.1", 8_000),
-        f"centre-{number % CENTRES}",
+        f"centre-{number % DATA_CENTRES}",
         EndpointKind.MODEL,
         ("reader-small:1", "reader-large:1"),
         64,
@@ -123,14 +125,14 @@
 def make_report(number: int, sequence: int) -> EntryReport:
     """Make an entry's report."""
     address = Address("10.0.0.2", 8_000)
-    centre = f"centre-{number % CENTRES}"
+    centre = f"centre-{number % DATA_CENTRES}"
     id = InstanceId(f"entry-{number}")
     return EntryReport(
         id, 1_796_333_475_512_430, sequence, address, centre, in_flight=10
     )
 
 
-def make_watch(replica: Replica) -> Watch:
+def make_watch(replica: InProcessReplica) -> Watch:
     """Make an entry that follows the replica."""
     machine = ControlMachine()
     return Watch(
@@ -147,35 +149,39 @@
 
 def measure_membership(size: Size) -> list[Row]:
     """Measure one entry's polls while every endpoint speaks between two."""
-    replica = Replica(size)
+    replica = InProcessReplica(size)
     watch = make_watch(replica)
-    replica.speak()
+    replica.advance()
     watch.report_now()
-    replica.seconds = replica.request_bytes = replica.reply_bytes = 0
-    spent = 0.0
+    replica.cpu_seconds = replica.request_bytes = replica.reply_bytes = 0
+    cpu_seconds = 0.0
     for _ in range(POLLS):
-        replica.speak()
+        replica.advance()
         started = process_time()
         watch.report_now()
-        spent += process_time() - started
-    name = f"{size.entries} daemons, {size.endpoints} endpoints"
+        cpu_seconds += process_time() - started
+    label = f"{size.entries} daemons, {size.endpoints} endpoints"
     seconds = POLLS * HOLD_SECONDS
     received = replica.reply_bytes / seconds
     sent = replica.request_bytes / seconds
-    served = replica.seconds / POLLS
+    poll_cpu_seconds = replica.cpu_seconds / POLLS
     watchers = size.entries / REPLICAS
     return [
-        _make_row(f"{name}: bytes received by an entry", received, "B/s"),
-        _make_row(f"{name}: bytes sent by an entry", sent, "B/s"),
+        _make_row(f"{label}: bytes received by an entry", received, "B/s"),
+        _make_row(f"{label}: bytes sent by an entry", sent, "B/s"),
+        _make_row(
+            f"{label}: an entry's time for a poll",
+            (cpu_seconds - replica.cpu_seconds) / POLLS * MICROSECONDS,
+            "us",
+        ),
         _make_row(
-            f"{name}: an entry's time for a poll",
-            (spent - replica.seconds) / POLLS * MICROSECONDS,
+            f"{label}: a replica's time for a poll",
+            poll_cpu_seconds * MICROSECONDS,
             "us",
         ),
-        _make_row(f"{name}: a replica's time for a poll", served * MICROSECONDS, "us"),
         _make_row(
-            f"{name}: a replica's share of a core for its watchers",
-            served * watchers / HOLD_SECONDS * 100.0,
+            f"{label}: a replica's share of a core for its watchers",
+            poll_cpu_seconds * watchers / HOLD_SECONDS * 100.0,
             "%",
         ),
     ]
@@ -183,7 +189,7 @@
 
 def measure_call() -> Row:
     """Measure the processor time of one gRPC call, both ends together."""
-    server = PeerServer(Echo(), "key")
+    server = PeerServer(EchoHandler(), "key")
     address = Address("127.0.0.1", 0)
     port = server.start(address)
     channel = PeerChannel(replace(address, port=port), "key")
@@ -191,10 +197,10 @@
     started = process_time()
     for _ in range(CALLS):
         channel.call(POLL, b"x" * 500, 5.0)
-    spent = (process_time() - started) / CALLS
+    cpu_seconds = (process_time() - started) / CALLS
     channel.close()
     server.stop(0.1)
-    return _make_row("gRPC call, both ends", spent * MICROSECONDS, "us")
+    return _make_row("gRPC call, both ends", cpu_seconds * MICROSECONDS, "us")
 
 
 def measure_tickets() -> list[Row]:
@@ -206,11 +212,13 @@
     started = process_time()
     for index, encoded in enumerate(commands, 1):
         machine.apply(LogIndex(index), encoded)
-    spent = (process_time() - started) / len(commands)
+    cpu_seconds = (process_time() - started) / len(commands)
     size = sum(map(len, commands)) / len(commands)
     rate = TARGET_CHANGES_A_DAY / DAY_SECONDS
     return [
-        _make_row("configuration change: time to apply", spent * MICROSECONDS, "us"),
+        _make_row(
+            "configuration change: time to apply", cpu_seconds * MICROSECONDS, "us"
+        ),
         _make_row("configuration change: bytes", size, "B"),
         _make_row("2,700 changes a day at an entry", size * rate, "B/s"),
         _make_row("snapshot of 20 workspaces", float(len(machine.snapshot())), "B"),
@@ -241,8 +249,8 @@
 def main(short: bool) -> None:
     """Measure what the control plane costs each role."""
     init_gevent()
-    work = spawn(measure, SHORT_SIZES if short else SIZES)
-    write_figures("capacity", 0, work.get())
+    greenlet = spawn(measure, SHORT_SIZES if short else SIZES)
+    write_report("capacity", 0, greenlet.get())
 
 
 if __name__ == "__main__":
--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -14,14 +14,14 @@
 from click import command, echo, option
 
 from benchmarks.answers import Answers, draw_answers
-from benchmarks.clairvoyant import find_mix
+from benchmarks.clairvoyant import find_optimal_mix
 from benchmarks.workloads import (
-    RATING_TERMS,
+    RATING_SETTINGS,
     WORKLOADS,
     Drift,
     Floats,
     Ratings,
-    RatingTerms,
+    RatingSettings,
     Workload,
 )
 from bergamotwood_core.budget import RatingBudget
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Track:
+class PolicyResult:
     """Cost and true quality of each request under one policy."""
 
     name: str
@@ -86,30 +86,30 @@
     plan_micros_p99: float
 
 
-def summarize(track: Track, target: float) -> Summary:
+def summarize(result: PolicyResult, target: float) -> Summary:
     """Reduce a track to means and missed windows."""
-    count = len(track.costs)
+    count = len(result.costs)
     missed = 0
     starts = range(WINDOW, count - WINDOW + 1, WINDOW)
     for start in starts:
-        window = track.qualities[start : start + WINDOW]
+        window = result.qualities[start : start + WINDOW]
         error = float(window.std(ddof=1)) / sqrt(WINDOW)
         missed += bool(window.mean() < target - 2.0 * error)
     return Summary(
-        name=track.name,
-        cost=float(track.costs[WINDOW:].mean()),
-        quality=float(track.qualities[WINDOW:].mean()),
-        start_cost=float(track.costs[:WINDOW].mean()),
-        start_quality=float(track.qualities[:WINDOW].mean()),
+        name=result.name,
+        cost=float(result.costs[WINDOW:].mean()),
+        quality=float(result.qualities[WINDOW:].mean()),
+        start_cost=float(result.costs[:WINDOW].mean()),
+        start_quality=float(result.qualities[:WINDOW].mean()),
         missed=missed,
         windows=len(starts),
-        ratings=track.ratings / count,
-        plan_micros=1e6 * float(np.mean(track.plan_seconds)),
-        plan_micros_p99=1e6 * float(np.quantile(track.plan_seconds, 0.99)),
+        ratings=result.ratings / count,
+        plan_micros=1e6 * float(np.mean(result.plan_seconds)),
+        plan_micros_p99=1e6 * float(np.quantile(result.plan_seconds, 0.99)),
     )
 
 
-Sample = tuple[float, int, CascadePolicy, EstimateKey, float, float | None]
+PendingRating = tuple[float, int, CascadePolicy, EstimateKey, float, float | None]
 
 
 class PolicyRun:
@@ -121,7 +121,7 @@
         Classes, versions and target.
     answers : Answers
         What the engines and the rating service would say.
-    terms : RatingTerms
+    rating_settings : RatingSettings
         Limit and delay of ratings.
     entries : int
         Entries that share the traffic.
@@ -133,16 +133,16 @@
         self,
         workload: Workload,
         answers: Answers,
-        terms: RatingTerms,
+        rating_settings: RatingSettings,
         entries: int,
         seed: int,
     ) -> None:
         self.workload = workload
         self.answers = answers
-        self.terms = terms
+        self.rating_settings = rating_settings
         self.rng = Random(seed)
-        per_second = terms.per_request * workload.requests_per_second
-        self.service = RatingBudget(per_second * 1.05, RATING_BURST)
+        per_second = rating_settings.per_request * workload.requests_per_second
+        self.rating_budget = RatingBudget(per_second * 1.05, RATING_BURST)
         self.policies = [
             CascadePolicy(
                 CascadeSettings(
@@ -169,11 +169,11 @@
             Candidate(version, v.input_price, v.output_price, v.first_token_seconds)
             for version, v in zip(self.versions, workload.versions, strict=True)
         ]
-        self.pending: list[Sample] = []
+        self.pending_ratings: list[PendingRating] = []
         self.exchanged_at = 0.0
         self.ratings = 0
 
-    def run(self) -> Track:
+    def run(self) -> PolicyResult:
         """Answer every request in turn."""
         count = len(self.answers.times)
         costs = np.zeros(count)
@@ -181,7 +181,7 @@
         plan_seconds: list[float] = []
         for index in range(count):
             now = float(self.answers.times[index])
-            self._deliver(now)
+            self._advance_to(now)
             policy = self.rng.choice(self.policies)
             request_class = self.classes[self.answers.classes[index]]
             started = perf_counter()
@@ -193,12 +193,12 @@
                 Seconds(now),
             )
             plan_seconds.append(perf_counter() - started)
-            costs[index], qualities[index] = self._answer(
+            costs[index], qualities[index] = self._answer_request(
                 policy, plan, request_class, index, now
             )
-        return Track("policy", costs, qualities, self.ratings, plan_seconds)
+        return PolicyResult("policy", costs, qualities, self.ratings, plan_seconds)
 
-    def _answer(
+    def _answer_request(
         self,
         policy: CascadePolicy,
         plan: CascadePlan,
@@ -221,7 +221,7 @@
                 wait += float(answers.first_tokens[index, version])
                 break
             wait += float(answers.totals[index, version]) + RATING_SECONDS
-            if not self.service.take(Seconds(now)):
+            if not self.rating_budget.take(Seconds(now)):
                 policy.record_refusal(Seconds(now))
                 escalated = True
                 continue
@@ -231,10 +231,14 @@
             if score >= step.threshold:
                 break
             escalated = True
-        accepted = float(answers.first_scores[index, version]) if step.rate else None
-        policy.record_returned_answer(self.workspace, key, accepted)
-        if policy.should_sample(key, Seconds(now), accepted is not None):
-            self._sample(policy, key, index, version, now, accepted)
+        accepted_score = (
+            float(answers.first_scores[index, version]) if step.rate else None
+        )
+        policy.record_returned_answer(self.workspace, key, accepted_score)
+        if policy.should_sample(key, Seconds(now), accepted_score is not None):
+            self._request_sampled_rating(
+                policy, key, index, version, now, accepted_score
+            )
         quality = float(answers.qualities[index, version])
         return cost + self.workload.latency_weight * wait, quality
 
@@ -253,30 +257,33 @@
         )
         policy.record_answer(request_class, self.versions[version], usage)
 
-    def _sample(
+    def _request_sampled_rating(
         self,
         policy: CascadePolicy,
         key: EstimateKey,
         index: int,
         version: int,
         now: float,
-        accepted: float | None,
+        accepted_score: float | None,
     ) -> None:
-        if not self.service.take(Seconds(now)):
+        if not self.rating_budget.take(Seconds(now)):
             policy.record_refusal(Seconds(now))
             return
         self.ratings += 1
         score = float(self.answers.second_scores[index, version])
-        due = now + self.terms.delay_seconds
-        heappush(self.pending, (due, self.ratings, policy, key, score, accepted))
+        due = now + self.rating_settings.delay_seconds
+        heappush(
+            self.pending_ratings,
+            (due, self.ratings, policy, key, score, accepted_score),
+        )
 
-    def _deliver(self, now: float) -> None:
-        while self.pending and self.pending[0][0] <= now:
-            _, _, policy, key, score, accepted = heappop(self.pending)
-            if accepted is None:
+    def _advance_to(self, now: float) -> None:
+        while self.pending_ratings and self.pending_ratings[0][0] <= now:
+            _, _, policy, key, score, accepted_score = heappop(self.pending_ratings)
+            if accepted_score is None:
                 policy.record_rating(key, score, Seconds(now))
             else:
-                policy.record_repeated_rating(accepted, score)
+                policy.record_repeated_rating(accepted_score, score)
         if len(self.policies) < 2 or now - self.exchanged_at < EXCHANGE_SECONDS:
             return
         self.exchanged_at = now
@@ -286,15 +293,15 @@
                 policy.merge_evidence(message)
 
 
-def run_fixed(
+def run_fixed_cascade(
     workload: Workload,
     answers: Answers,
-    terms: RatingTerms,
+    rating_settings: RatingSettings,
     steps: Sequence[tuple[int, float]],
-) -> Track:
+) -> PolicyResult:
     """Answer every request with one cascade; without a rating it escalates."""
-    per_second = terms.per_request * workload.requests_per_second
-    service = RatingBudget(per_second, RATING_BURST)
+    per_second = rating_settings.per_request * workload.requests_per_second
+    rating_budget = RatingBudget(per_second, RATING_BURST)
     count = len(answers.times)
     costs = np.zeros(count)
     qualities = np.zeros(count)
@@ -303,7 +310,7 @@
         now = Seconds(float(answers.times[index]))
         wait = 0.0
         for version, threshold in steps[:-1]:
-            if not service.take(now):
+            if not rating_budget.take(now):
                 continue
             ratings += 1
             costs[index] += answers.costs[index, version]
@@ -319,10 +326,10 @@
         costs[index] += workload.latency_weight * wait
     names = [workload.versions[version].name for version, _ in steps]
     suffix = f"@{steps[0][1]}" if len(steps) > 1 else ""
-    return Track(">".join(names) + suffix, costs, qualities, ratings)
+    return PolicyResult(">".join(names) + suffix, costs, qualities, ratings)
 
 
-def list_fixed(count: int) -> Iterable[tuple[tuple[int, float], ...]]:
+def list_fixed_cascades(count: int) -> Iterable[tuple[tuple[int, float], ...]]:
     """List single versions and short cascades with one threshold."""
     for version in range(count):
         yield ((version, 0.0),)
@@ -333,8 +340,12 @@
 
 
 def run_clairvoyant(
-    workload: Workload, answers: Answers, terms: RatingTerms, drift: Drift, seed: int
-) -> Track:
+    workload: Workload,
+    answers: Answers,
+    rating_settings: RatingSettings,
+    drift: Drift,
+    seed: int,
+) -> PolicyResult:
     """Answer every request with the mix of the true chances of its moment."""
     count = len(answers.times)
     costs = np.zeros(count)
@@ -342,17 +353,19 @@
     rng = np.random.default_rng(seed)
     ratings = 0
     for start, end in _list_blocks(answers, drift):
-        chances = answers.chances[(start + end) // 2]
-        mix = find_mix(workload, chances, terms, RATING_SECONDS, seed)
+        probabilities = answers.probabilities[(start + end) // 2]
+        mix = find_optimal_mix(
+            workload, probabilities, rating_settings, RATING_SECONDS, seed
+        )
         for index in range(start, end):
-            kind = int(answers.classes[index])
-            chosen = rng.choice(len(mix.shares[kind]), p=mix.shares[kind])
-            steps = mix.options[kind][chosen].steps
-            costs[index], qualities[index], used = _play(
+            class_index = int(answers.classes[index])
+            chosen = rng.choice(len(mix.shares[class_index]), p=mix.shares[class_index])
+            steps = mix.options[class_index][chosen].steps
+            costs[index], qualities[index], used = _run_steps(
                 workload, answers, steps, index
             )
             ratings += used
-    return Track("clairvoyant", costs, qualities, ratings)
+    return PolicyResult("clairvoyant", costs, qualities, ratings)
 
 
 def _list_blocks(answers: Answers, drift: Drift) -> list[tuple[int, int]]:
@@ -360,12 +373,12 @@
     if drift is Drift.DRIFT:
         edges = [round(count * block / BLOCKS) for block in range(BLOCKS + 1)]
     else:
-        moved = np.any(np.diff(answers.chances, axis=0) != 0.0, axis=(1, 2))
+        moved = np.any(np.diff(answers.probabilities, axis=0) != 0.0, axis=(1, 2))
         edges = [0, *(np.flatnonzero(moved) + 1).tolist(), count]
     return list(zip(edges, edges[1:], strict=False))
 
 
-def _play(
+def _run_steps(
     workload: Workload,
     answers: Answers,
     steps: Sequence[tuple[int, float]],
@@ -413,16 +426,23 @@
     fixed: bool = True,
 ) -> Case:
     """Run every policy on the same answers."""
-    terms = RATING_TERMS[ratings]
-    answers = draw_answers(workload, drift, terms, count, seed)
+    rating_settings = RATING_SETTINGS[ratings]
+    answers = draw_answers(workload, drift, rating_settings, count, seed)
     target = workload.target
-    policy = PolicyRun(workload, answers, terms, entries, seed).run()
-    clairvoyant = run_clairvoyant(workload, answers, terms, drift, seed)
+    policy = PolicyRun(workload, answers, rating_settings, entries, seed).run()
+    clairvoyant = run_clairvoyant(workload, answers, rating_settings, drift, seed)
     size = len(workload.versions)
-    options = list(list_fixed(size)) if fixed else list(list_fixed(size))[:size]
-    tracks = [run_fixed(workload, answers, terms, steps) for steps in options]
-    summaries = [summarize(track, target) for track in tracks]
-    holding = [summary for summary in summaries if not summary.missed]
+    options = (
+        list(list_fixed_cascades(size))
+        if fixed
+        else list(list_fixed_cascades(size))[:size]
+    )
+    results = [
+        run_fixed_cascade(workload, answers, rating_settings, steps)
+        for steps in options
+    ]
+    summaries = [summarize(result, target) for result in results]
+    on_target = [summary for summary in summaries if not summary.missed]
     return Case(
         workload=workload.name,
         drift=drift,
@@ -433,7 +453,7 @@
         clairvoyant=summarize(clairvoyant, target),
         cheapest=summaries[0],
         dearest=summaries[size - 1],
-        best_fixed=min(holding, key=lambda s: s.cost, default=None),
+        best_fixed=min(on_target, key=lambda s: s.cost, default=None),
     )
 
 
@@ -443,17 +463,19 @@
     cost = _mean(case.policy.cost for case in cases)
     bound = _mean(case.clairvoyant.cost for case in cases)
     fixed = [case for case in cases if case.best_fixed is not None]
-    versus = _mean(c.policy.cost / c.best_fixed.cost for c in fixed) if fixed else 0.0
-    dearer = sum(c.policy.cost > c.best_fixed.cost for c in fixed)
+    cost_ratio = (
+        _mean(c.policy.cost / c.best_fixed.cost for c in fixed) if fixed else 0.0
+    )
+    costlier = sum(c.policy.cost > c.best_fixed.cost for c in fixed)
     missed = sum(case.policy.missed for case in cases)
-    known = sum(case.clairvoyant.missed for case in cases)
+    clairvoyant_missed = sum(case.clairvoyant.missed for case in cases)
     windows = sum(case.policy.windows for case in cases)
     return (
         f"{first.workload:10}{first.drift:10}{first.ratings:9}{first.entries:2}"
-        f"{cost:8.3f}{cost / bound:7.3f}{versus:7.3f}{dearer:3}/{len(fixed):<3}"
+        f"{cost:8.3f}{cost / bound:7.3f}{cost_ratio:7.3f}{costlier:3}/{len(fixed):<3}"
         f"{_mean(c.policy.cost / c.dearest.cost for c in cases):7.3f}"
         f"{_mean(c.policy.quality for c in cases):7.3f}"
-        f"{missed:4}/{windows:<4}{known:3}"
+        f"{missed:4}/{windows:<4}{clairvoyant_missed:3}"
         f"{_mean(c.policy.ratings for c in cases):6.2f}"
         f"{_mean(c.policy.start_cost / c.policy.cost for c in cases):7.2f}"
         f"{_mean(c.policy.start_quality for c in cases):7.3f}"
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -7,7 +7,7 @@
 
 from click import command, option
 
-from benchmarks.figures import Row, find_quantiles, print_table, write_json
+from benchmarks.report import Row, find_percentiles, print_table, write_json
 from bergamotwood_core.admission import AdmissionController, AdmissionSettings
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Version, Workspace
@@ -39,7 +39,7 @@
 CALLS = 5_000
 TOKENS = 20_000
 NOW = Seconds(100.0)
-LATER = Seconds(1_000.0)
+DEADLINE = Seconds(1_000.0)
 SECRET = b"0123456789abcdef"
 WORKSPACE = Workspace(
     name="kubwa",
@@ -71,7 +71,7 @@
     return tables
 
 
-class Decisions:
+class RequestDecisions:
     """All decisions of one request, over the same tables."""
 
     def __init__(self, size: int, spread: bool, seed: int) -> None:
@@ -86,8 +86,8 @@
 
     def place(self, **fields: int | SessionId) -> EndpointId:
         """Choose an endpoint."""
-        need = PlacementRequirements(self.target, DataCentre("dc0"), **fields)
-        chosen = choose_endpoint(self.tables.directory, need, NOW, self.rng)
+        requirements = PlacementRequirements(self.target, DataCentre("dc0"), **fields)
+        chosen = choose_endpoint(self.tables.directory, requirements, NOW, self.rng)
         if chosen is None:
             raise LookupError("no endpoint runs the version")
         return chosen
@@ -125,20 +125,20 @@
         """Admit and release a request."""
         self.number += 1
         request = RequestId(str(self.number))
-        self.admission.offer(request, WORKSPACE, Priority.NORMAL, LATER, NOW)
+        self.admission.offer(request, WORKSPACE, Priority.NORMAL, DEADLINE, NOW)
         self.admission.release(request, NOW)
 
-    def honour_session(self) -> None:
+    def decode_session(self) -> None:
         """Read a session id."""
         read_session(self.session, SECRET)
 
     def decide(self) -> None:
         """Make every decision of one request, from session to end."""
-        self.honour_session()
+        self.decode_session()
         self.fingerprint()
         self.number += 1
         request = RequestId(str(self.number))
-        self.admission.offer(request, WORKSPACE, Priority.NORMAL, LATER, NOW)
+        self.admission.offer(request, WORKSPACE, Priority.NORMAL, DEADLINE, NOW)
         endpoint = self.place_prefix()
         self.check_endpoint(endpoint)
         row = self.tables.directory.endpoints[endpoint]
@@ -153,39 +153,39 @@
     for _ in range(20):
         call()
     collect()
-    taken = []
+    durations = []
     for _ in range(calls):
         start = perf_counter_ns()
         call()
-        taken.append((perf_counter_ns() - start) / 1_000)
-    p50, _, p99 = find_quantiles(taken)
-    return sum(taken) / len(taken), p50, p99
+        durations.append((perf_counter_ns() - start) / 1_000)
+    p50, _, p99 = find_percentiles(durations)
+    return sum(durations) / len(durations), p50, p99
 
 
 def measure_decisions(size: int, spread: bool, seed: int) -> list[Row]:
     """Measure each decision at one size of the fleet."""
-    decisions = Decisions(size, spread, seed)
-    parts: dict[str, Callable[[], object]] = {
+    decisions = RequestDecisions(size, spread, seed)
+    operations: dict[str, Callable[[], object]] = {
         "place by load": decisions.place,
         "place by prefix": decisions.place_prefix,
         "place after a change": decisions.place_after_change,
         "check at dispatch": decisions.check,
         "fingerprint of 24 kB": decisions.fingerprint,
         "admit and release": decisions.admit,
-        "read session": decisions.honour_session,
+        "read session": decisions.decode_session,
         "whole decision": decisions.decide,
     }
     rows = []
-    for name, call in parts.items():
+    for name, call in operations.items():
         calls = CALLS // 10 if "change" in name else CALLS
         mean, p50, p99 = measure(call, calls)
-        pools = "spread" if spread else "one pool"
-        head: Row = {"endpoints": size, "fleet": pools, "part": name}
-        rows.append(head | {"mean_us": mean, "p50_us": p50, "p99_us": p99})
+        layout = "spread" if spread else "one pool"
+        labels: Row = {"endpoints": size, "fleet": layout, "part": name}
+        rows.append(labels | {"mean_us": mean, "p50_us": p50, "p99_us": p99})
     return rows
 
 
-class TokenWay:
+class TokenPath:
     """One token's way: parse the endpoint's event, assemble, encode again."""
 
     def __init__(self) -> None:
@@ -194,7 +194,7 @@
         self.encoder = EventEncoder(self.request, "m0:1")
         self.index = 0
 
-    def pass_token(self) -> None:
+    def process_token(self) -> None:
         """Pass one token on."""
         for chunk in self.assembler.accept(_decode_chunk(self.make_event())):
             self.encoder.encode(chunk)
@@ -212,9 +212,9 @@
 
 def measure_token() -> Row:
     """Measure the way of a token in microseconds."""
-    way = TokenWay()
-    mean, p50, p99 = measure(way.pass_token, TOKENS)
-    make_mean, make_p50, _ = measure(TokenWay().make_event, TOKENS)
+    path = TokenPath()
+    mean, p50, p99 = measure(path.process_token, TOKENS)
+    make_mean, make_p50, _ = measure(TokenPath().make_event, TOKENS)
     return {
         "endpoints": 0,
         "fleet": "any",
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request; lengths are lognormal with a mean and a spread."""
 
     name: str
@@ -18,11 +18,11 @@
     events_spread: float
     own_tokens: float
     shared_tokens: float
-    subjects: int
+    shared_prefixes: int
     objective: float
     deadline: float
-    gap: float
-    worth: float
+    event_gap: float
+    value: float
 
 
 @dataclass(frozen=True)
@@ -32,7 +32,7 @@
     entries: int
     engines: int
     engine: BatchingSettings
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
 
 
 def make_site(
@@ -41,19 +41,19 @@
     step: tuple[float, float, float],
     memory: int,
     event_tokens: int,
-    kinds: tuple[Kind, ...],
+    kinds: tuple[RequestKind, ...],
 ) -> Site:
     """Make a site; a step's base and slot times are in ms, reading in tokens a ms."""
     base, slot, rate = step
     settings = BatchingSettings(
         slots=64,
         step_seconds=base / 1e3,
-        slot_seconds=slot / 1e3,
-        read_rate=rate * 1e3,
+        request_step_seconds=slot / 1e3,
+        prefill_rate=rate * 1e3,
         chunk_tokens=2048,
         memory_tokens=memory,
         event_tokens=event_tokens,
-        paces={SMALL: 0.3, MIDDLE: 0.8, LARGE: 3.0},
+        prefill_slowdowns={SMALL: 0.3, MIDDLE: 0.8, LARGE: 3.0},
     )
     return Site(entries, engines, settings, kinds)
 
@@ -66,9 +66,11 @@
         362_489,
         5,
         (
-            Kind("adapt", 67.8, 24, 1.4, 3720, 13_300, 645, 4.0, 15.0, 2.0, 2.8),
-            Kind("pitch", 27.5, 10, 1.4, 2890, 6300, 590, 3.0, 10.0, 2.0, 2.5),
-            Kind("headline", 66.2, 34, 0.89, 1110, 350, 630, 2.0, 20.0, 2.0, 0.39),
+            RequestKind("adapt", 67.8, 24, 1.4, 3720, 13_300, 645, 4.0, 15.0, 2.0, 2.8),
+            RequestKind("pitch", 27.5, 10, 1.4, 2890, 6300, 590, 3.0, 10.0, 2.0, 2.5),
+            RequestKind(
+                "headline", 66.2, 34, 0.89, 1110, 350, 630, 2.0, 20.0, 2.0, 0.39
+            ),
         ),
     ),
     "kubwa-grown": make_site(
@@ -78,9 +80,9 @@
         588_575,
         3,
         (
-            Kind("guide", 34.7, 40, 1.4, 3720, 13_300, 497, 4.0, 25.0, 1.0, 2.9),
-            Kind("digest", 16.2, 17, 1.4, 2890, 6300, 232, 3.0, 12.0, 1.0, 2.3),
-            Kind("note", 33.4, 57, 0.89, 1110, 350, 716, 2.0, 25.0, 1.0, 0.41),
+            RequestKind("guide", 34.7, 40, 1.4, 3720, 13_300, 497, 4.0, 25.0, 1.0, 2.9),
+            RequestKind("digest", 16.2, 17, 1.4, 2890, 6300, 232, 3.0, 12.0, 1.0, 2.3),
+            RequestKind("note", 33.4, 57, 0.89, 1110, 350, 716, 2.0, 25.0, 1.0, 0.41),
         ),
     ),
     "kubwa": make_site(
@@ -90,9 +92,9 @@
         588_575,
         3,
         (
-            Kind("guide", 8.68, 60, 1.4, 3720, 13_300, 83, 4.0, 25.0, 0.8, 2.9),
-            Kind("digest", 4.06, 26, 1.4, 2890, 6300, 39, 3.0, 12.0, 0.8, 2.3),
-            Kind("note", 8.35, 86, 0.89, 1110, 350, 119, 2.0, 25.0, 0.8, 0.41),
+            RequestKind("guide", 8.68, 60, 1.4, 3720, 13_300, 83, 4.0, 25.0, 0.8, 2.9),
+            RequestKind("digest", 4.06, 26, 1.4, 2890, 6300, 39, 3.0, 12.0, 0.8, 2.3),
+            RequestKind("note", 8.35, 86, 0.89, 1110, 350, 119, 2.0, 25.0, 0.8, 0.41),
         ),
     ),
 }
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -8,7 +8,7 @@
 from msgspec.json import encode
 from msgspec.structs import replace
 
-from benchmarks.figures import Row, write_figures
+from benchmarks.report import Row, write_report
 from bergamotwood_core.directory import (
     choose_addresses,
     decode_announcement,
@@ -58,39 +58,43 @@
 
 def measure(function: Callable[[], object], times: int) -> float:
     """Measure microseconds of one call."""
-    began = perf_counter()
+    started = perf_counter()
     for _ in range(times):
         function()
-    return (perf_counter() - began) / times * MICROSECONDS
+    return (perf_counter() - started) / times * MICROSECONDS
 
 
 def measure_size(seed: int, endpoints: int, entries: int, prefixes: int) -> Row:
     """Measure one size of fleet."""
     rng = Random(seed)
     tables = DirectoryTables()
-    words = [make_announcement(number, prefixes, rng) for number in range(endpoints)]
-    bodies = [encode(word) for word in words]
+    announcements = [
+        make_announcement(number, prefixes, rng) for number in range(endpoints)
+    ]
+    bodies = [encode(announcement) for announcement in announcements]
     for number in range(entries):
         merge_report(tables, make_report(number, rng), 0.0)
-    began = perf_counter()
-    for word in words:
-        merge_announcement(tables, word, 0.0)
-    first = (perf_counter() - began) / endpoints * MICROSECONDS
+    started = perf_counter()
+    for announcement in announcements:
+        merge_announcement(tables, announcement, 0.0)
+    first_us = (perf_counter() - started) / endpoints * MICROSECONDS
     updates = [
-        replace(word, sequence=2 + turn) for turn in range(ROUNDS) for word in words
+        replace(announcement, sequence=2 + round_index)
+        for round_index in range(ROUNDS)
+        for announcement in announcements
     ]
-    began = perf_counter()
-    for word in updates:
-        merge_announcement(tables, word, 1.0)
-    again = (perf_counter() - began) / len(updates) * MICROSECONDS
+    started = perf_counter()
+    for announcement in updates:
+        merge_announcement(tables, announcement, 1.0)
+    repeated_us = (perf_counter() - started) / len(updates) * MICROSECONDS
     return {
         "endpoints": endpoints,
         "entries": entries,
         "prefixes": prefixes,
         "announcement_bytes": sum(map(len, bodies)) / endpoints,
         "decode_us": measure(lambda: decode_announcement(bodies[0]), 2_000),
-        "first_us": first,
-        "again_us": again,
+        "first_us": first_us,
+        "again_us": repeated_us,
         "expire_all_us": measure(lambda: expire_endpoints(tables, 2.0), 200),
         "addresses_us": measure(
             lambda: choose_addresses(tables, "centre-1", 100, 2.0, rng, 5), 200
@@ -109,7 +113,7 @@
         for endpoints, entries in sizes
         for prefixes in PREFIXES
     ]
-    write_figures("directory", seed, rows)
+    write_report("directory", seed, rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -6,10 +6,10 @@
 from enum import Enum
 from heapq import heapify, heappop, heappush
 
-from benchmarks.agenda import Agenda
+from benchmarks.simulation import Simulation
 
 
-class Health(Enum):
+class EngineHealth(Enum):
     """How the fake behaves."""
 
     GOOD = "good"
@@ -56,23 +56,25 @@
     prompt_tokens: int
     output_tokens: int
     priority: int
-    on_first: Callable[[], None]
+    on_first_token: Callable[[], None]
     on_done: Callable[[], None]
     on_fail: Callable[[], None]
-    started: float | None = None
-    first_at: float | None = None
-    step: float = 0.0
-    cached: int = 0
-    stalled: float = 0.0
-    gone: bool = False
+    started_at: float | None = None
+    first_token_at: float | None = None
+    step_seconds: float = 0.0
+    cached_tokens: int = 0
+    stall_seconds: float = 0.0
+    is_closed: bool = False
 
     def count_work(self, now: float) -> float:
         """Engine tokens spent so far, prompt and output."""
-        if self.started is None:
+        if self.started_at is None:
             return 0.0
-        work = float(self.prompt_tokens - self.cached)
-        if self.first_at is not None and now > self.first_at:
-            work += min(self.output_tokens, (now - self.first_at) / self.step)
+        work = float(self.prompt_tokens - self.cached_tokens)
+        if self.first_token_at is not None and now > self.first_token_at:
+            work += min(
+                self.output_tokens, (now - self.first_token_at) / self.step_seconds
+            )
         return work
 
 
@@ -80,14 +82,14 @@
 class Engine:
     """Batches continuously; serves its queue by priority, then by age."""
 
-    agenda: Agenda
+    simulation: Simulation
     settings: EngineSettings
-    health: Health = Health.GOOD
+    health: EngineHealth = EngineHealth.GOOD
     running: set[Job] = field(default_factory=set)
     queue: list[tuple[int, int, Job]] = field(default_factory=list)
     cache: OrderedDict[int, int] = field(default_factory=OrderedDict)
     prefill_free_at: float = 0.0
-    stalled: float = 0.0
+    stall_seconds: float = 0.0
     received: int = 0
     incarnation: int = 1
 
@@ -98,19 +100,19 @@
 
     def submit(self, job: Job) -> None:
         """Take a job."""
-        if self.health is Health.DEAD:
-            self.agenda.add(0.001, job.on_fail)
+        if self.health is EngineHealth.DEAD:
+            self.simulation.schedule(0.001, job.on_fail)
             return
         self.received += 1
         heappush(self.queue, (job.priority, self.received, job))
-        self._fill()
+        self._start_queued()
 
     def cancel(self, job: Job) -> None:
         """Drop a job."""
-        job.gone = True
+        job.is_closed = True
         if job in self.running:
             self.running.discard(job)
-            self._fill()
+            self._start_queued()
             return
         self.queue = [item for item in self.queue if item[2] is not job]
         heapify(self.queue)
@@ -121,28 +123,31 @@
         self.running.clear()
         self.queue.clear()
         self.cache.clear()
-        self.health = Health.DEAD
+        self.health = EngineHealth.DEAD
         for job in lost:
-            job.gone = True
-            self.agenda.add(0.001, job.on_fail)
-        self.agenda.add(down_seconds, self._restart)
+            job.is_closed = True
+            self.simulation.schedule(0.001, job.on_fail)
+        self.simulation.schedule(down_seconds, self._restart)
         return lost
 
     def silence(self, timeout: float) -> None:
         """Send nothing more; callers give running answers up at their timeout."""
-        self.health = Health.SILENT
+        self.health = EngineHealth.SILENT
         for job in self.running:
-            if job.first_at is not None and job.first_at <= self.agenda.now:
-                self.agenda.add(timeout, job.on_fail)
+            if (
+                job.first_token_at is not None
+                and job.first_token_at <= self.simulation.now
+            ):
+                self.simulation.schedule(timeout, job.on_fail)
 
     def _restart(self) -> None:
-        self.health = Health.GOOD
+        self.health = EngineHealth.GOOD
         self.incarnation += 1
-        self.prefill_free_at = self.agenda.now
+        self.prefill_free_at = self.simulation.now
 
-    def _fill(self) -> None:
+    def _start_queued(self) -> None:
         """Start queued jobs while there are slots."""
-        if self.health is Health.SILENT:
+        if self.health is EngineHealth.SILENT:
             return
         while self.queue and len(self.running) < self.settings.capacity:
             _, _, job = heappop(self.queue)
@@ -150,43 +155,49 @@
 
     def _start(self, job: Job) -> None:
         """Prefill and decode a job."""
-        now = self.agenda.now
-        factor = SLOW_FACTOR if self.health is Health.SLOW else 1.0
-        job.started = now
-        job.cached = self._use_cache(job)
-        prefill = (job.prompt_tokens - job.cached) / self.settings.prefill_rate
+        now = self.simulation.now
+        factor = SLOW_FACTOR if self.health is EngineHealth.SLOW else 1.0
+        job.started_at = now
+        job.cached_tokens = self._use_cache(job)
+        prefill = (job.prompt_tokens - job.cached_tokens) / self.settings.prefill_rate
         self.prefill_free_at = max(now, self.prefill_free_at) + prefill * factor
-        self.stalled += prefill * factor * self.settings.prefill_stall
-        job.stalled = self.stalled
+        self.stall_seconds += prefill * factor * self.settings.prefill_stall
+        job.stall_seconds = self.stall_seconds
         self.running.add(job)
         growth = self.settings.step_growth * len(self.running)
-        job.step = (self.settings.step_seconds + growth) * factor
-        job.first_at = self.prefill_free_at + job.step
-        end = job.first_at + (job.output_tokens - 1) * job.step
-        self.agenda.add(job.first_at - now, lambda: self._call(job, job.on_first))
-        self.agenda.add(end - now, lambda: self._end(job))
-
-    def _end(self, job: Job) -> None:
-        if job.gone or self.health is Health.SILENT:
+        job.step_seconds = (self.settings.step_seconds + growth) * factor
+        job.first_token_at = self.prefill_free_at + job.step_seconds
+        end = job.first_token_at + (job.output_tokens - 1) * job.step_seconds
+        self.simulation.schedule(
+            job.first_token_at - now,
+            lambda: self._call_if_open(job, job.on_first_token),
+        )
+        self.simulation.schedule(end - now, lambda: self._finish(job))
+
+    def _finish(self, job: Job) -> None:
+        if job.is_closed or self.health is EngineHealth.SILENT:
             return
-        if job.stalled < self.stalled:
-            delay, job.stalled = self.stalled - job.stalled, self.stalled
-            self.agenda.add(delay, lambda: self._end(job))
+        if job.stall_seconds < self.stall_seconds:
+            delay, job.stall_seconds = (
+                self.stall_seconds - job.stall_seconds,
+                self.stall_seconds,
+            )
+            self.simulation.schedule(delay, lambda: self._finish(job))
             return
         self.running.discard(job)
-        job.gone = True
+        job.is_closed = True
         job.on_done()
-        self._fill()
+        self._start_queued()
 
-    def _call(self, job: Job, action: Callable[[], None]) -> None:
-        if not job.gone and self.health is not Health.SILENT:
+    def _call_if_open(self, job: Job, action: Callable[[], None]) -> None:
+        if not job.is_closed and self.health is not EngineHealth.SILENT:
             action()
 
     def _use_cache(self, job: Job) -> int:
         """Look the prefix up, keep it, drop the oldest beyond the size."""
-        held = self.cache.pop(job.prefix, 0)
-        self.cache[job.prefix] = max(held, job.prefix_tokens)
+        reusable_tokens = self.cache.pop(job.prefix, 0)
+        self.cache[job.prefix] = max(reusable_tokens, job.prefix_tokens)
         total = sum(self.cache.values())
         while total > self.settings.cache_tokens and len(self.cache) > 1:
             total -= self.cache.popitem(last=False)[1]
-        return min(held, job.prefix_tokens)
+        return min(reusable_tokens, job.prefix_tokens)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from benchmarks.agenda import Agenda
-from benchmarks.engine import Engine, EngineSettings, Health, Job
-from benchmarks.workload import Offer
+from benchmarks.engine import Engine, EngineHealth, EngineSettings, Job
+from benchmarks.simulation import Simulation
+from benchmarks.traffic import OfferedRequest
 from bergamotwood_core.admission import (
     AdmissionController,
     AdmissionSettings,
@@ -46,7 +46,7 @@
 EXPIRY_SECONDS = 5.0
 MAX_ATTEMPTS = 3
 
-Choose = Callable[
+ChooseEndpoint = Callable[
     [DirectoryTables, PlacementRequirements, Seconds, Random], EndpointId | None
 ]
 
@@ -99,8 +99,8 @@
     data_centre: DataCentre
     admission: AdmissionController
     tables: DirectoryTables = field(default_factory=DirectoryTables)
-    budget: RetryBudget = field(default_factory=RetryBudget)
-    waiting: dict[RequestId, Offer] = field(default_factory=dict)
+    retry_budget: RetryBudget = field(default_factory=RetryBudget)
+    waiting: dict[RequestId, OfferedRequest] = field(default_factory=dict)
 
 
 class Fleet:
@@ -121,61 +121,63 @@
     def __init__(
         self,
         settings: FleetSettings,
-        choose: Choose,
+        choose: ChooseEndpoint,
         seed: int,
         workspaces: dict[str, Workspace],
     ) -> None:
         self.settings = settings
         self.choose = choose
         self.rng = Random(seed)
-        self.agenda = Agenda()
+        self.simulation = Simulation()
         self.workspaces = workspaces
-        self.on_end: Callable[[Offer], None] = lambda offer: None
-        self.wasted = 0.0
-        self.work = 0.0
+        self.on_end: Callable[[OfferedRequest], None] = lambda request: None
+        self.wasted_work = 0.0
+        self.total_work = 0.0
         self.attempts = 0
-        self.spilled = 0
+        self.remote_attempts = 0
         self.engines = self._make_engines()
         self.entries = self._make_entries()
         self._last_report: dict[EndpointId, float] = {}
 
-    def run(self, offers: list[Offer], seconds: float) -> None:
+    def run(self, requests: list[OfferedRequest], seconds: float) -> None:
         """Offer requests at their times and run to an end."""
-        for offer in offers:
-            self.agenda.add(offer.at, lambda offer=offer: self.offer(offer))
+        for request in requests:
+            self.simulation.schedule(
+                request.arrived_at, lambda request=request: self.submit(request)
+            )
         until = seconds
-        self.agenda.repeat(REPORT_SECONDS, self._report, until)
-        self.agenda.repeat(TICK_SECONDS, self._tick, until)
-        self.agenda.run(until)
+        self.simulation.schedule_every(REPORT_SECONDS, self._report, until)
+        self.simulation.schedule_every(TICK_SECONDS, self._tick, until)
+        self.simulation.run(until)
 
-    def offer(self, offer: Offer) -> None:
+    def submit(self, request: OfferedRequest) -> None:
         """Bring a request to a random entry."""
         entry = self.rng.choice(self.entries)
-        entry.budget.record_offered()
+        entry.retry_budget.record_offered()
         if not self.settings.admission:
-            self._dispatch(entry, offer, frozenset())
+            self._dispatch(entry, request, frozenset())
             return
-        request = name_request(offer)
+        request_id = make_request_id(request)
         decision = entry.admission.offer(
-            request,
-            self.workspaces[offer.workspace],
-            offer.kind.priority,
-            Seconds(offer.at + offer.kind.first_seconds * 0.8),
-            self.agenda.now,
+            request_id,
+            self.workspaces[request.workspace],
+            request.kind.priority,
+            Seconds(request.arrived_at + request.kind.first_seconds * 0.8),
+            self.simulation.now,
         )
         match decision:
             case Admitted():
-                self._dispatch(entry, offer, frozenset())
+                self._dispatch(entry, request, frozenset())
             case Queued(displaced):
-                entry.waiting[request] = offer
+                entry.waiting[request_id] = request
                 self._refuse(entry, displaced)
             case Refused():
-                self._end(offer, refused=True)
+                self._finish(request, refused=True)
 
     def _make_engines(self) -> dict[EndpointId, Engine]:
         settings = self.settings
         return {
-            EndpointId(f"e{number:04d}"): Engine(self.agenda, settings.engine)
+            EndpointId(f"e{number:04d}"): Engine(self.simulation, settings.engine)
             for number in range(settings.engines)
         }
 
@@ -183,7 +185,7 @@
         entries = []
         for number in range(self.settings.entries):
             entry = EntryFake(
-                self.place(number), AdmissionController(self.settings.limits)
+                self.get_data_centre(number), AdmissionController(self.settings.limits)
             )
             for id_ in self.engines:
                 entry.tables.endpoints[id_] = Endpoint(
@@ -192,7 +194,7 @@
             entries.append(entry)
         return entries
 
-    def place(self, number: int) -> DataCentre:
+    def get_data_centre(self, number: int) -> DataCentre:
         """Name the data centre of the engine or entry with a number."""
         return DataCentre(f"dc{number % self.settings.data_centres}")
 
@@ -202,7 +204,7 @@
             incarnation=Incarnation(1),
             sequence=Sequence(1),
             address=Address("127.0.0.1", 1),
-            data_centre=self.place(int(id_[1:])),
+            data_centre=self.get_data_centre(int(id_[1:])),
             kind=EndpointKind.MODEL,
             versions=(VERSION,),
             capacity=self.settings.engine.capacity,
@@ -212,36 +214,41 @@
     def _report(self) -> None:
         """Send each engine's load to each entry, late and with gaps."""
         for id_, engine in self.engines.items():
-            if engine.health is Health.DEAD:
+            if engine.health is EngineHealth.DEAD:
                 continue
-            word = self._announce(id_, engine.load)
+            announcement = self._announce(id_, engine.load)
             for entry in self.entries:
                 if self.rng.random() < self.settings.loss:
                     continue
                 lag = self.settings.lag_seconds * self.rng.uniform(0.5, 1.5)
-                self.agenda.add(
-                    lag, lambda entry=entry, word=word: self._hear(entry, word)
+                self.simulation.schedule(
+                    lag,
+                    lambda entry=entry, announcement=announcement: self._receive(
+                        entry, announcement
+                    ),
                 )
 
-    def _hear(self, entry: EntryFake, word: Announcement) -> None:
-        row = entry.tables.endpoints.get(word.id)
+    def _receive(self, entry: EntryFake, announcement: Announcement) -> None:
+        row = entry.tables.endpoints.get(announcement.id)
         if row is None:
-            row = Endpoint(word, self.agenda.now)
-            entry.tables.endpoints[word.id] = row
+            row = Endpoint(announcement, self.simulation.now)
+            entry.tables.endpoints[announcement.id] = row
             entry.tables.membership_version += 1
-        row.announcement = word
-        row.heard_at = self.agenda.now
+        row.announcement = announcement
+        row.heard_at = self.simulation.now
         row.outstanding_at_report = row.outstanding
 
     def _tick(self) -> None:
         """Expire endpoints and queued requests; follow the load."""
-        now = self.agenda.now
+        now = self.simulation.now
         for entry in self.entries:
             self._expire(entry, now)
             if not self.settings.admission:
                 continue
             self._refuse(entry, entry.admission.expire(now))
-            self._start(entry, entry.admission.set_limit("", self._limit(entry), now))
+            self._start(
+                entry, entry.admission.set_limit("", self._compute_limit(entry), now)
+            )
 
     def _expire(self, entry: EntryFake, now: Seconds) -> None:
         rows = entry.tables.endpoints
@@ -249,7 +256,7 @@
             del rows[id_]
             entry.tables.membership_version += 1
 
-    def _limit(self, entry: EntryFake) -> int:
+    def _compute_limit(self, entry: EntryFake) -> int:
         rows = entry.tables.endpoints.values()
         capacity = sum(row.announcement.capacity for row in rows)
         load = sum(row.announcement.load for row in rows)
@@ -260,47 +267,49 @@
             len(self.entries),
         )
 
-    def _start(self, entry: EntryFake, requests: tuple[RequestId, ...]) -> None:
-        for request in requests:
-            self._dispatch(entry, entry.waiting.pop(request), frozenset())
+    def _start(self, entry: EntryFake, request_ids: tuple[RequestId, ...]) -> None:
+        for request_id in request_ids:
+            self._dispatch(entry, entry.waiting.pop(request_id), frozenset())
 
-    def _refuse(self, entry: EntryFake, requests: tuple[RequestId, ...]) -> None:
-        for request in requests:
-            self._end(entry.waiting.pop(request), refused=True)
+    def _refuse(self, entry: EntryFake, request_ids: tuple[RequestId, ...]) -> None:
+        for request_id in request_ids:
+            self._finish(entry.waiting.pop(request_id), refused=True)
 
-    def _end(self, offer: Offer, refused: bool = False, failed: bool = False) -> None:
-        offer.refused = refused
-        offer.failed = failed
-        self.on_end(offer)
+    def _finish(
+        self, request: OfferedRequest, refused: bool = False, failed: bool = False
+    ) -> None:
+        request.refused = refused
+        request.failed = failed
+        self.on_end(request)
 
-    def _release(self, entry: EntryFake, offer: Offer) -> None:
+    def _release(self, entry: EntryFake, request: OfferedRequest) -> None:
         if self.settings.admission:
-            request = name_request(offer)
-            self._start(entry, entry.admission.release(request, self.agenda.now))
+            request_id = make_request_id(request)
+            self._start(entry, entry.admission.release(request_id, self.simulation.now))
 
     def _dispatch(
-        self, entry: EntryFake, offer: Offer, excluded: frozenset[EndpointId]
+        self, entry: EntryFake, request: OfferedRequest, excluded: frozenset[EndpointId]
     ) -> None:
         """Place one attempt and send it."""
-        need = PlacementRequirements(
+        requirements = PlacementRequirements(
             VersionTarget(VERSION),
             entry.data_centre,
             nearby=self.settings.nearby,
-            prefix_hash=offer.prefix,
-            prefix_tokens=offer.kind.prefix_tokens,
+            prefix_hash=request.prefix,
+            prefix_tokens=request.kind.prefix_tokens,
             excluded=excluded,
         )
-        id_ = self.choose(entry.tables, need, self.agenda.now, self.rng)
+        id_ = self.choose(entry.tables, requirements, self.simulation.now, self.rng)
         if id_ is None:
-            self._end(offer, failed=True)
-            self._release(entry, offer)
+            self._finish(request, failed=True)
+            self._release(entry, request)
             return
-        Attempt(self, entry, offer, id_, excluded).send()
+        Attempt(self, entry, request, id_, excluded).send()
 
 
-def name_request(offer: Offer) -> RequestId:
+def make_request_id(request: OfferedRequest) -> RequestId:
     """Name a request; offers of several streams may share their numbers."""
-    return RequestId(str(id(offer)))
+    return RequestId(str(id(request)))
 
 
 class Attempt:
@@ -310,86 +319,86 @@
         self,
         fleet: Fleet,
         entry: EntryFake,
-        offer: Offer,
+        request: OfferedRequest,
         id_: EndpointId,
         excluded: frozenset[EndpointId],
     ) -> None:
         self.fleet = fleet
         self.entry = entry
-        self.offer = offer
+        self.request = request
         self.id = id_
         self.excluded = excluded
         self.engine = fleet.engines[id_]
         self.row = entry.tables.endpoints[id_]
-        self.sent_at = fleet.agenda.now
+        self.sent_at = fleet.simulation.now
         self.answered = False
         self.ended = False
         self.job = Job(
-            offer.prefix,
-            offer.kind.prefix_tokens,
-            offer.prompt_tokens,
-            offer.output_tokens,
-            int(offer.kind.priority),
-            self._first,
-            self._done,
-            self._fail,
+            request.prefix,
+            request.kind.prefix_tokens,
+            request.prompt_tokens,
+            request.output_tokens,
+            int(request.kind.priority),
+            self._handle_first_token,
+            self._handle_end,
+            self._handle_failure,
         )
 
     def send(self) -> None:
         """Send the attempt and watch for its first token."""
         fleet = self.fleet
         fleet.attempts += 1
-        self.offer.attempts += 1
+        self.request.attempts += 1
         if self.row.announcement.data_centre != self.entry.data_centre:
-            fleet.spilled += 1
-        record_start(self.row, fleet.agenda.now)
+            fleet.remote_attempts += 1
+        record_start(self.row, fleet.simulation.now)
         self.engine.submit(self.job)
-        fleet.agenda.add(SILENCE_CHECK_SECONDS, self._check_silence)
+        fleet.simulation.schedule(SILENCE_CHECK_SECONDS, self._check_silence)
 
-    def _first(self) -> None:
-        now = self.fleet.agenda.now
+    def _handle_first_token(self) -> None:
+        now = self.fleet.simulation.now
         self.answered = True
         record_first_token(self.row, now - self.sent_at, now)
-        if self.offer.first_at is None:
-            self.offer.first_at = now
-            self.offer.cached = self.job.cached
+        if self.request.first_token_at is None:
+            self.request.first_token_at = now
+            self.request.cached_tokens = self.job.cached_tokens
 
-    def _done(self) -> None:
+    def _handle_end(self) -> None:
         self.ended = True
-        now = self.fleet.agenda.now
+        now = self.fleet.simulation.now
         record_success(self.row, now)
-        self.offer.done_at = now
+        self.request.finished_at = now
         work = self.job.count_work(now)
-        self.fleet.work += work
-        if not self.offer.good:
-            self.fleet.wasted += work
-        self.fleet._end(self.offer)
-        self.fleet._release(self.entry, self.offer)
+        self.fleet.total_work += work
+        if not self.request.met_deadline:
+            self.fleet.wasted_work += work
+        self.fleet._finish(self.request)
+        self.fleet._release(self.entry, self.request)
 
     def _check_silence(self) -> None:
         if self.answered or self.ended:
             return
-        now = self.fleet.agenda.now
+        now = self.fleet.simulation.now
         waited = now - self.sent_at
-        patience = self.fleet.settings.silence_seconds
-        if waited < patience and not is_silent(self.row, now):
-            self.fleet.agenda.add(SILENCE_CHECK_SECONDS, self._check_silence)
+        timeout = self.fleet.settings.silence_seconds
+        if waited < timeout and not is_silent(self.row, now):
+            self.fleet.simulation.schedule(SILENCE_CHECK_SECONDS, self._check_silence)
             return
         self.engine.cancel(self.job)
-        self._fail()
+        self._handle_failure()
 
-    def _fail(self) -> None:
+    def _handle_failure(self) -> None:
         if self.ended:
             return
         self.ended = True
         fleet = self.fleet
-        now = fleet.agenda.now
+        now = fleet.simulation.now
         record_failure(self.row, now, self.answered)
         work = self.job.count_work(now)
-        fleet.work += work
-        fleet.wasted += work
-        if self.offer.attempts < MAX_ATTEMPTS and self.entry.budget.try_spend():
-            fleet._dispatch(self.entry, self.offer, self.excluded | {self.id})
+        fleet.total_work += work
+        fleet.wasted_work += work
+        if self.request.attempts < MAX_ATTEMPTS and self.entry.retry_budget.try_spend():
+            fleet._dispatch(self.entry, self.request, self.excluded | {self.id})
             return
-        fleet._end(self.offer, failed=True)
-        fleet._release(self.entry, self.offer)
+        fleet._finish(self.request, failed=True)
+        fleet._release(self.entry, self.request)
--- a/benchmarks/generation.py
+++ b/benchmarks/generation.py
@@ -7,9 +7,9 @@
 
 from click import command, option
 
-from benchmarks.callers import WARM_SECONDS, Choose, Entry, Play
+from benchmarks.callers import WARMUP_SECONDS, ChooseEndpoint, Entry, SiteRun
 from benchmarks.deployment import LARGE, MODELS, SITES, SMALL, Site
-from benchmarks.figures import Row, write_figures
+from benchmarks.report import Row, write_report
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.gateway.call import Call
 from bergamotwood_core.gateway.endpoints import EndpointHeartbeat
@@ -18,46 +18,50 @@
 
 
 def choose_gateway(
-    entry: Entry, beats: list[EndpointHeartbeat], call: Call, now: Seconds
+    entry: Entry, heartbeats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
     """Choose as the gateway does."""
-    return entry.placement.choose(beats, call, now)
+    return entry.placement.choose(heartbeats, call, now)
 
 
-def make_plain(entry: Entry, beat: EndpointHeartbeat, call: Call) -> Candidate:
+def make_uncached_candidate(
+    entry: Entry, heartbeat: EndpointHeartbeat, call: Call
+) -> Candidate:
     """Describe an endpoint for a choice that knows nothing of cached prompts."""
-    health = entry.health.find(beat.endpoint, beat.incarnation)
-    load = entry.loads.find(beat.endpoint)
-    return Candidate(beat, health, load, call.terms.prompt_tokens)
+    health = entry.health.find(heartbeat.endpoint, heartbeat.incarnation)
+    load = entry.loads.find(heartbeat.endpoint)
+    return Candidate(heartbeat, health, load, call.terms.prompt_tokens)
 
 
-def choose_least(
-    entry: Entry, beats: list[EndpointHeartbeat], call: Call, now: Seconds
+def choose_least_loaded(
+    entry: Entry, heartbeats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
     """Choose the least reported load, any of those that are alike."""
-    key = min(
-        beats,
-        key=lambda beat: (
-            entry.loads.find(beat.endpoint).requests,
+    chosen = min(
+        heartbeats,
+        key=lambda heartbeat: (
+            entry.loads.find(heartbeat.endpoint).requests,
             entry.rng.random(),
         ),
     )
-    return make_plain(entry, key, call)
+    return make_uncached_candidate(entry, chosen, call)
 
 
-def choose_two(
-    entry: Entry, beats: list[EndpointHeartbeat], call: Call, now: Seconds
+def choose_of_two(
+    entry: Entry, heartbeats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
     """Choose the less loaded of two at random."""
-    two = entry.rng.sample(beats, 2)
-    key = min(two, key=lambda beat: entry.loads.find(beat.endpoint).requests)
-    return make_plain(entry, key, call)
+    sampled = entry.rng.sample(heartbeats, 2)
+    chosen = min(
+        sampled, key=lambda heartbeat: entry.loads.find(heartbeat.endpoint).requests
+    )
+    return make_uncached_candidate(entry, chosen, call)
 
 
-POLICIES: dict[str, tuple[Choose, tuple[ModelName, ...]]] = {
+POLICIES: dict[str, tuple[ChooseEndpoint, tuple[ModelName, ...]]] = {
     "gateway": (choose_gateway, MODELS),
-    "least load": (choose_least, MODELS),
-    "two choices": (choose_two, MODELS),
+    "least load": (choose_least_loaded, MODELS),
+    "two choices": (choose_of_two, MODELS),
     "smallest": (choose_gateway, (SMALL,)),
     "largest": (choose_gateway, (LARGE,)),
 }
@@ -69,28 +73,30 @@
     seed: int,
     seconds: float,
     load: float,
-    part: float,
+    replaced_share: float,
     restarted_at: float,
 ) -> Row:
     """Play one policy and return its row."""
     choose, models = POLICIES[policy]
-    halfway = 0.5 * (seconds + WARM_SECONDS)
-    play = Play(site, seed, choose, models, load, halfway, part, restarted_at)
-    play.run(seconds)
-    result = play.result
+    halfway = 0.5 * (seconds + WARMUP_SECONDS)
+    site_run = SiteRun(
+        site, seed, choose, models, load, halfway, replaced_share, restarted_at
+    )
+    site_run.run(seconds)
+    result = site_run.result
     counts = result.counts
     total = max(counts["in time"] + counts["late"] + counts["failed"], 1)
-    heads = sorted(result.heads)
+    first_event_times = sorted(result.first_event_times)
     return {
         "policy": policy,
-        "earned": result.earned / result.owed,
+        "earned": result.earned_value / result.total_value,
         "in time": counts["in time"] / total,
         "late": counts["late"] / total,
         "failed": counts["failed"] / total,
-        "head p50": heads[len(heads) // 2],
-        "head p95": heads[int(0.95 * len(heads))],
-        "Mtokens read": play.work.tokens_read / 1e6,
-        "shared again": play.work.shared_tokens_read / 1e6,
+        "head p50": first_event_times[len(first_event_times) // 2],
+        "head p95": first_event_times[int(0.95 * len(first_event_times))],
+        "Mtokens read": site_run.prefill_counters.prefill_tokens / 1e6,
+        "shared again": site_run.prefill_counters.shared_prefill_tokens / 1e6,
         "large": counts[LARGE] / total,
     }
 
@@ -130,12 +136,12 @@
         seeds, seconds = 1, 12.0
     rows = []
     for policy in policies or tuple(POLICIES):
-        played = [
+        policy_rows = [
             measure(policy, SITES[site], seed, seconds, load, replaced, restarted)
             for seed in range(1, seeds + 1)
         ]
-        rows.append(average(played))
-    write_figures("generation", 1, rows)
+        rows.append(average(policy_rows))
+    write_report("generation", 1, rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -10,7 +10,7 @@
 
 from click import command, option
 
-from benchmarks.figures import Row, write_figures
+from benchmarks.report import Row, write_report
 from bergamotwood_core.key_table import MAX_EXPIRED_KEYS, MAX_KEYS, hash_scope
 from bergamotwood_core.ledger import (
     Attempt,
@@ -26,13 +26,13 @@
 
 SIZES = (1_000, 5_000, 20_000)
 SHORT_SIZES = (500, 1_000, 2_000)
-MEASURED = 2_000
+COMMANDS = 2_000
 ANSWER_BYTES = 512
 WORKSPACES = 10
 MICROSECONDS = 1e6
 
 
-class Feeder:
+class LedgerDriver:
     """Feeds a machine with commands made from a seed."""
 
     def __init__(self, seed: int) -> None:
@@ -41,7 +41,7 @@
         self._rng = Random(seed)
         self._sequence = 0
 
-    def make_payment(self) -> tuple[Claim, Finish]:
+    def make_claim_and_finish(self) -> tuple[Claim, Finish]:
         """Make the claim and the end of one non-idempotent request."""
         bill = self.make_bill(keyed=True)
         token = f"{self._rng.getrandbits(128):032x}"
@@ -67,52 +67,54 @@
             2.8,
         )
 
-    def feed(self, contents: Iterable[bytes]) -> int:
+    def apply_commands(self, encoded_commands: Iterable[bytes]) -> int:
         """Apply encoded commands; return the bytes of the answers."""
         size = 0
-        for content in contents:
+        for content in encoded_commands:
             self.index += 1
             size += len(self.machine.apply(self.index, content))
         return size
 
-    def fill(self, keys: int) -> None:
+    def store_keys(self, keys: int) -> None:
         """Make payments until this many keys are kept."""
         for _ in range(keys):
-            self.feed(map(encode_command, self.make_payment()))
+            self.apply_commands(map(encode_command, self.make_claim_and_finish()))
 
 
-def measure_commands(feeder: Feeder, kind: str, commands: list[LedgerCommand]) -> Row:
+def measure_commands(
+    driver: LedgerDriver, kind: str, commands: list[LedgerCommand]
+) -> Row:
     """Measure applying one kind of command."""
-    contents = [encode_command(item) for item in commands]
-    keys = len(feeder.machine.keys.records)
-    began = perf_counter()
-    answered = feeder.feed(contents)
-    taken = perf_counter() - began
+    encoded_commands = [encode_command(item) for item in commands]
+    keys = len(driver.machine.keys.records)
+    started = perf_counter()
+    answer_bytes = driver.apply_commands(encoded_commands)
+    elapsed = perf_counter() - started
     return {
         "command": kind,
         "keys": keys,
-        "us_each": taken / len(contents) * MICROSECONDS,
-        "command_bytes": sum(map(len, contents)) / len(contents),
-        "answer_bytes": answered / len(contents),
+        "us_each": elapsed / len(encoded_commands) * MICROSECONDS,
+        "command_bytes": sum(map(len, encoded_commands)) / len(encoded_commands),
+        "answer_bytes": answer_bytes / len(encoded_commands),
     }
 
 
 def measure_kinds(seed: int, keys: int) -> list[Row]:
     """Measure each kind of command with this many keys kept."""
-    feeder = Feeder(seed)
-    feeder.fill(keys)
-    payments = [feeder.make_payment() for _ in range(MEASURED)]
-    claims = [claim for claim, _ in payments]
-    ends = [finish for _, finish in payments]
-    bills = [RecordBill(feeder.make_bill()) for _ in range(MEASURED)]
-    keyed = [RecordBill(feeder.make_bill(keyed=True)) for _ in range(MEASURED)]
+    driver = LedgerDriver(seed)
+    driver.store_keys(keys)
+    pairs = [driver.make_claim_and_finish() for _ in range(COMMANDS)]
+    claims = [claim for claim, _ in pairs]
+    finishes = [finish for _, finish in pairs]
+    bills = [RecordBill(driver.make_bill()) for _ in range(COMMANDS)]
+    keyed = [RecordBill(driver.make_bill(keyed=True)) for _ in range(COMMANDS)]
     return [
-        measure_commands(feeder, "claim", claims),
-        measure_commands(feeder, "claim again", claims),
-        measure_commands(feeder, "finish", ends),
-        measure_commands(feeder, "bill", bills),
-        measure_commands(feeder, "bill again", bills),
-        measure_commands(feeder, "bill with key", keyed),
+        measure_commands(driver, "claim", claims),
+        measure_commands(driver, "claim again", claims),
+        measure_commands(driver, "finish", finishes),
+        measure_commands(driver, "bill", bills),
+        measure_commands(driver, "bill again", bills),
+        measure_commands(driver, "bill with key", keyed),
     ]
 
 
@@ -120,26 +122,26 @@
     """Measure memory and snapshot with this many keys, and hashes of expired ones."""
     collect()
     start_tracing()
-    feeder = Feeder(seed)
-    feeder.fill(keys)
+    driver = LedgerDriver(seed)
+    driver.store_keys(keys)
     for number in range(hashes):
-        feeder.machine.keys.expired[hash_scope(("workspace", str(number)))] = 1.0
+        driver.machine.keys.expired[hash_scope(("workspace", str(number)))] = 1.0
     collect()
     size, _ = get_traced_memory()
     stop_tracing()
-    began = perf_counter()
-    snapshot = feeder.machine.snapshot()
+    started = perf_counter()
+    snapshot = driver.machine.snapshot()
     dumped = perf_counter()
     LedgerMachine().restore(snapshot)
     restored = perf_counter()
-    counts = feeder.machine.count_entities()
+    counts = driver.machine.count_entities()
     return {
         "keys_kept": counts["keys"],
         "hashes_kept": counts["expired_keys"],
         "bills_kept": counts["bills"],
         "memory_mb": size / 1e6,
         "snapshot_mb": len(snapshot) / 1e6,
-        "snapshot_s": dumped - began,
+        "snapshot_s": dumped - started,
         "restore_s": restored - dumped,
     }
 
@@ -151,11 +153,11 @@
     """Measure the ledger's state machine on one core."""
     sizes = SHORT_SIZES if short else SIZES
     rows = [row for size in sizes for row in measure_kinds(seed, size)]
-    write_figures("ledger-commands", seed, rows)
+    write_report("ledger-commands", seed, rows)
     memory = [measure_memory(seed, size, 0) for size in sizes]
     if not short:
         memory.append(measure_memory(seed, MAX_KEYS, MAX_EXPIRED_KEYS))
-    write_figures("ledger-memory", seed, memory)
+    write_report("ledger-memory", seed, memory)
 
 
 if __name__ == "__main__":
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -6,18 +6,18 @@
 
 from click import command, option
 
-from benchmarks.figures import Row, find_quantiles, print_table, write_json
 from benchmarks.fleet import Fleet, FleetSettings
 from benchmarks.placement import WORKSPACES, find_capacity
-from benchmarks.workload import KINDS, Offer, make_offers
+from benchmarks.report import Row, find_percentiles, print_table, write_json
+from benchmarks.traffic import KINDS, OfferedRequest, make_requests
 from bergamotwood_core.configuration import Workspace
 from bergamotwood_core.placement import choose_endpoint
 from bergamotwood_core.retry import HedgeBudget, RetryBudget
 
 RUN_SECONDS = 240.0
 DRAIN_SECONDS = 60.0
-FLOOD_AT = 60.0
-OUTAGE_AT = 60.0
+FLOOD_START_SECONDS = 60.0
+OUTAGE_START_SECONDS = 60.0
 OUTAGE_SECONDS = 60.0
 RESEND_SECONDS = 0.5
 MAX_RESENDS = 3
@@ -28,8 +28,8 @@
 STRAGGLER_SHARE = 0.02
 STRAGGLER_SECONDS = 0.6
 
-COLOFN = tuple(kind for kind in KINDS if kind.workspace == "colofn")
-KUBWA = tuple(kind for kind in KINDS if kind.workspace == "kubwa")
+COLOFN_KINDS = tuple(kind for kind in KINDS if kind.workspace == "colofn")
+KUBWA_KINDS = tuple(kind for kind in KINDS if kind.workspace == "kubwa")
 
 
 def run_flood(seed: int, capacity: float, fair: bool) -> list[Row]:
@@ -40,44 +40,59 @@
     }
     fleet = Fleet(FleetSettings(), choose_endpoint, seed, workspaces)
     rng = Random(seed)
-    small = list(make_offers(capacity * 0.2, RUN_SECONDS, rng, COLOFN))
-    usual = list(make_offers(capacity * 0.3, FLOOD_AT, rng, KUBWA))
-    flood = list(make_offers(capacity * 3.0, RUN_SECONDS - FLOOD_AT, rng, KUBWA))
-    for offer in flood:
-        offer.at += FLOOD_AT
-    fleet.run([*small, *usual, *flood], RUN_SECONDS + DRAIN_SECONDS)
+    colofn_requests = list(
+        make_requests(capacity * 0.2, RUN_SECONDS, rng, COLOFN_KINDS)
+    )
+    kubwa_requests = list(
+        make_requests(capacity * 0.3, FLOOD_START_SECONDS, rng, KUBWA_KINDS)
+    )
+    flood = list(
+        make_requests(
+            capacity * 3.0, RUN_SECONDS - FLOOD_START_SECONDS, rng, KUBWA_KINDS
+        )
+    )
+    for request in flood:
+        request.arrived_at += FLOOD_START_SECONDS
+    fleet.run([*colofn_requests, *kubwa_requests, *flood], RUN_SECONDS + DRAIN_SECONDS)
     rows = []
-    for name, offers in (("colofn", small), ("kubwa", flood)):
-        counted = [offer for offer in offers if offer.at > FLOOD_AT + 10.0]
-        head: Row = {"fair": str(fair), "workspace": name}
-        rows.append(head | summarize_offers(counted))
+    for name, requests in (("colofn", colofn_requests), ("kubwa", flood)):
+        counted = [
+            request
+            for request in requests
+            if request.arrived_at > FLOOD_START_SECONDS + 10.0
+        ]
+        labels: Row = {"fair": str(fair), "workspace": name}
+        rows.append(labels | summarize_requests(counted))
     return rows
 
 
-def summarize_offers(offers: list[Offer]) -> Row:
+def summarize_requests(requests: list[OfferedRequest]) -> Row:
     """Sum offers up by their outcome."""
-    done = [offer for offer in offers if offer.done_at is not None]
-    first = find_quantiles([offer.first_at - offer.at for offer in done])
+    finished = [request for request in requests if request.finished_at is not None]
+    first_tokens = find_percentiles(
+        [request.first_token_at - request.arrived_at for request in finished]
+    )
     return {
-        "offered": len(offers),
-        "good": sum(offer.good for offer in offers) / max(1, len(offers)),
-        "refused": sum(offer.refused for offer in offers) / max(1, len(offers)),
-        "first50": first[0],
-        "first95": first[1],
-        "first99": first[2],
+        "offered": len(requests),
+        "good": sum(request.met_deadline for request in requests)
+        / max(1, len(requests)),
+        "refused": sum(request.refused for request in requests) / max(1, len(requests)),
+        "first50": first_tokens[0],
+        "first95": first_tokens[1],
+        "first99": first_tokens[2],
     }
 
 
 def run_priorities(seed: int, capacity: float) -> list[Row]:
     """Offer 120 percent and sum up by kind."""
     fleet = Fleet(FleetSettings(), choose_endpoint, seed, WORKSPACES)
-    offers = list(make_offers(capacity * 1.2, RUN_SECONDS, Random(seed)))
-    fleet.run(offers, RUN_SECONDS + DRAIN_SECONDS)
+    requests = list(make_requests(capacity * 1.2, RUN_SECONDS, Random(seed)))
+    fleet.run(requests, RUN_SECONDS + DRAIN_SECONDS)
     rows = []
     for kind in KINDS:
-        counted = [o for o in offers if o.kind is kind and o.at > 30.0]
-        head: Row = {"kind": kind.name, "priority": kind.priority.name}
-        rows.append(head | summarize_offers(counted))
+        counted = [o for o in requests if o.kind is kind and o.arrived_at > 30.0]
+        labels: Row = {"kind": kind.name, "priority": kind.priority.name}
+        rows.append(labels | summarize_requests(counted))
     return rows
 
 
@@ -86,58 +101,66 @@
     fleet = Fleet(FleetSettings(admission=admission), choose_endpoint, seed, WORKSPACES)
     if not budget:
         for entry in fleet.entries:
-            entry.budget = RetryBudget(ratio=10.0, max_tokens=1e9)
-    offers = list(make_offers(capacity * 0.8, RUN_SECONDS, Random(seed)))
-    resent: list[Offer] = []
+            entry.retry_budget = RetryBudget(ratio=10.0, max_tokens=1e9)
+    requests = list(make_requests(capacity * 0.8, RUN_SECONDS, Random(seed)))
+    resent: list[OfferedRequest] = []
 
-    def resend(offer: Offer) -> None:
-        if not (offer.failed or offer.refused) or offer.tries > MAX_RESENDS:
+    def resend(request: OfferedRequest) -> None:
+        if not (request.failed or request.refused) or request.sends > MAX_RESENDS:
             return
-        again = make_resend(offer, fleet.agenda.now + RESEND_SECONDS)
+        again = make_resend(request, fleet.simulation.now + RESEND_SECONDS)
         resent.append(again)
-        fleet.agenda.add(RESEND_SECONDS, lambda: fleet.offer(again))
+        fleet.simulation.schedule(RESEND_SECONDS, lambda: fleet.submit(again))
 
     fleet.on_end = resend
     for engine in list(fleet.engines.values())[::2]:
-        fleet.agenda.add(OUTAGE_AT, lambda e=engine: e.crash(OUTAGE_SECONDS))
-    fleet.run(offers, RUN_SECONDS + DRAIN_SECONDS)
-    return summarize_outage(fleet, offers, resent) | {
+        fleet.simulation.schedule(
+            OUTAGE_START_SECONDS, lambda e=engine: e.crash(OUTAGE_SECONDS)
+        )
+    fleet.run(requests, RUN_SECONDS + DRAIN_SECONDS)
+    return summarize_outage(fleet, requests, resent) | {
         "admission": str(admission),
         "budget": str(budget),
     }
 
 
-def make_resend(offer: Offer, at: float) -> Offer:
+def make_resend(request: OfferedRequest, at: float) -> OfferedRequest:
     """Make the offer of a caller that sends a request again."""
     return replace(
-        offer,
-        at=at,
-        tries=offer.tries + 1,
-        first_at=None,
+        request,
+        arrived_at=at,
+        sends=request.sends + 1,
+        first_token_at=None,
         refused=False,
         failed=False,
         attempts=0,
     )
 
 
-def summarize_outage(fleet: Fleet, offers: list[Offer], resent: list[Offer]) -> Row:
+def summarize_outage(
+    fleet: Fleet, requests: list[OfferedRequest], resent: list[OfferedRequest]
+) -> Row:
     """Sum up the goodput before, during and after an outage."""
-    everything = [*offers, *resent]
-    end = OUTAGE_AT + OUTAGE_SECONDS
+    all_requests = [*requests, *resent]
+    end = OUTAGE_START_SECONDS + OUTAGE_SECONDS
 
     def count_good(start: float, stop: float) -> float:
-        good = sum(offer.good for offer in everything if start <= offer.at < stop)
+        good = sum(
+            request.met_deadline
+            for request in all_requests
+            if start <= request.arrived_at < stop
+        )
         return good / (stop - start)
 
     return {
-        "before": count_good(20.0, OUTAGE_AT),
-        "during": count_good(OUTAGE_AT, end),
+        "before": count_good(20.0, OUTAGE_START_SECONDS),
+        "during": count_good(OUTAGE_START_SECONDS, end),
         "after_10s": count_good(end, end + 10.0),
         "after_30s": count_good(end + 10.0, end + 30.0),
         "later": count_good(end + 30.0, RUN_SECONDS),
-        "attempts": fleet.attempts / len(everything),
-        "resent": len(resent) / len(offers),
-        "wasted": fleet.wasted / max(1.0, fleet.work),
+        "attempts": fleet.attempts / len(all_requests),
+        "resent": len(resent) / len(requests),
+        "wasted": fleet.wasted_work / max(1.0, fleet.total_work),
     }
 
 
@@ -158,7 +181,7 @@
             latency = min(latency, delay + call_server(free_at, now + delay, rng))
         hedges.record_latency(latency)
         latencies.append(latency)
-    p50, p95, p99 = find_quantiles(latencies)
+    p50, p95, p99 = find_percentiles(latencies)
     return {
         "hedged": str(hedge),
         "p50": p50,
--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -16,7 +16,7 @@
 from click import command, option
 from gevent import joinall, sleep, spawn
 
-from benchmarks.figures import Row, find_quantiles, print_table, write_figures
+from benchmarks.report import Row, find_percentiles, print_table, write_report
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import InstanceId, LogIndex, ReplicaId, Term
 from bergamotwood_core.logentries import Entries, Entry, EntryKind, EntryLog
@@ -27,12 +27,12 @@
 
 COMMAND_BYTES = 256
 PROPOSERS = (1, 16, 128, 512)
-BATCH = 1_000
+BATCH_COMMANDS = 1_000
 LOG_LENGTHS = (1_000, 10_000, 100_000)
 IDLE_SECONDS = 5.0
 PROPOSE_TIMEOUT_SECONDS = 30.0
 POLL_SECONDS = 0.01
-NAMES = tuple(InstanceId(f"i{at}") for at in range(3))
+REPLICA_IDS = tuple(InstanceId(f"i{index}") for index in range(3))
 
 
 class CountingMachine:
@@ -81,8 +81,8 @@
     """Start the replicas of one group and wait for a leader."""
     groups: dict[InstanceId, LogGroup] = {}
     transport = CountingTransport(groups)
-    names = NAMES[:voters]
-    for at, name in enumerate(names):
+    names = REPLICA_IDS[:voters]
+    for index, name in enumerate(names):
         settings = GroupSettings(
             name, names, folder / name, snapshot_entries=snapshot_entries
         )
@@ -92,7 +92,7 @@
             CountingMachine(),
             transport,
             read_clock,
-            Random(seed + at),
+            Random(seed + index),
         )
         group.start()
         groups[name] = group
@@ -117,18 +117,18 @@
 
     def propose() -> None:
         while perf_counter() < until:
-            begun = perf_counter()
+            started = perf_counter()
             leader.propose(bytes(COMMAND_BYTES), PROPOSE_TIMEOUT_SECONDS)
-            times.append(perf_counter() - begun)
+            times.append(perf_counter() - started)
 
-    used = process_time()
-    begun = perf_counter()
+    cpu_seconds = process_time()
+    started = perf_counter()
     joinall([spawn(propose) for _ in range(proposers)], raise_error=True)
-    elapsed = perf_counter() - begun
-    used = process_time() - used
+    elapsed = perf_counter() - started
+    cpu_seconds = process_time() - cpu_seconds
     for group in groups.values():
         group.stop(handover=False)
-    p50, p95, p99 = find_quantiles(times)
+    p50, p95, p99 = find_percentiles(times)
     return {
         "voters": voters,
         "proposers": proposers,
@@ -136,7 +136,7 @@
         "p50_ms": p50 * 1000.0,
         "p95_ms": p95 * 1000.0,
         "p99_ms": p99 * 1000.0,
-        "core_us_each": used / len(times) * 1e6,
+        "core_us_each": cpu_seconds / len(times) * 1e6,
     }
 
 
@@ -144,13 +144,13 @@
     """Measure the disk alone: one small synced record after another."""
     journal = Journal(folder / "sync", ReplicaId("sync"))
     times = []
-    for at in range(count):
-        entry = _build_entry(at + 1)
-        begun = perf_counter()
+    for index in range(count):
+        entry = _build_entry(index + 1)
+        started = perf_counter()
         journal.save([Entries((entry,))])
-        times.append(perf_counter() - begun)
+        times.append(perf_counter() - started)
     journal.close()
-    p50, p95, p99 = find_quantiles(times)
+    p50, p95, p99 = find_percentiles(times)
     return {
         "syncs": count,
         "p50_ms": p50 * 1000.0,
@@ -163,28 +163,28 @@
     """Measure the start of a single voter with a log and no snapshot."""
     groups, _ = start_groups(folder, 1, seed, snapshot_entries=10**9)
     leader = find_leader(groups)
-    for _ in range(0, entries, BATCH):
+    for _ in range(0, entries, BATCH_COMMANDS):
         jobs = [
             spawn(leader.propose, bytes(COMMAND_BYTES), PROPOSE_TIMEOUT_SECONDS)
-            for _ in range(BATCH)
+            for _ in range(BATCH_COMMANDS)
         ]
         joinall(jobs, raise_error=True)
     size = leader.log_bytes
     leader.stop()
-    begun = perf_counter()
+    started = perf_counter()
     groups, _ = start_groups(folder, 1, seed, snapshot_entries=10**9)
     leader = find_leader(groups)
     leader.read_barrier(PROPOSE_TIMEOUT_SECONDS)
-    elapsed = perf_counter() - begun
+    elapsed = perf_counter() - started
     leader.stop()
-    begun = perf_counter()
-    journal = Journal(folder / NAMES[0] / "bench", ReplicaId("unused"))
-    read = perf_counter() - begun
+    started = perf_counter()
+    journal = Journal(folder / REPLICA_IDS[0] / "bench", ReplicaId("unused"))
+    read_seconds = perf_counter() - started
     journal.close()
     return {
         "entries": entries,
         "log_mb": size / 1e6,
-        "read_ms": read * 1000.0,
+        "read_ms": read_seconds * 1000.0,
         "start_to_lease_ms": elapsed * 1000.0,
     }
 
@@ -195,8 +195,8 @@
     start_tracing()
     before = get_traced_memory()[0]
     log = EntryLog(LogIndex(0), Term(0), Membership(()))
-    for at in range(entries):
-        log.append(_build_entry(at + 1))
+    for index in range(entries):
+        log.append(_build_entry(index + 1))
     after = get_traced_memory()[0]
     stop_tracing()
     return {
@@ -210,16 +210,16 @@
     """Measure the traffic and processor time of an idle group of three."""
     groups, transport = start_groups(folder, 3, seed, snapshot_entries=1000)
     before = transport.bytes
-    used = process_time()
+    cpu_seconds = process_time()
     sleep(IDLE_SECONDS)
-    used = process_time() - used
+    cpu_seconds = process_time() - cpu_seconds
     sent = transport.bytes - before
     for group in groups.values():
         group.stop(handover=False)
     return {
         "replicas": 3,
         "group_bytes_s": sent / IDLE_SECONDS,
-        "core_percent_each": used / IDLE_SECONDS / 3 * 100.0,
+        "core_percent_each": cpu_seconds / IDLE_SECONDS / 3 * 100.0,
     }
 
 
@@ -248,16 +248,18 @@
         print_table([measure_sync(base)])
         for voters in (1, 3):
             for proposers in PROPOSERS:
-                where = base / f"commit-{voters}-{proposers}"
-                rows.append(measure_commits(where, voters, proposers, seconds, seed))
-        write_figures("log-commits", seed, rows)
-        write_figures(
+                commit_folder = base / f"commit-{voters}-{proposers}"
+                rows.append(
+                    measure_commits(commit_folder, voters, proposers, seconds, seed)
+                )
+        write_report("log-commits", seed, rows)
+        write_report(
             "log-recovery",
             seed,
             [measure_recovery(base / f"r{n}", n, seed) for n in LOG_LENGTHS],
         )
-        write_figures("log-memory", seed, [measure_memory(n) for n in LOG_LENGTHS])
-        write_figures("log-idle", seed, [measure_idle(base / "idle", seed)])
+        write_report("log-memory", seed, [measure_memory(n) for n in LOG_LENGTHS])
+        write_report("log-idle", seed, [measure_idle(base / "idle", seed)])
 
 
 if __name__ == "__main__":
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -5,92 +5,101 @@
 
 from click import command, option
 
-from benchmarks.engine import Engine, Health
-from benchmarks.figures import Row, find_quantiles, write_figures
-from benchmarks.fleet import Choose, Fleet, FleetSettings
-from benchmarks.workload import Offer, make_offers
+from benchmarks.engine import Engine, EngineHealth
+from benchmarks.fleet import ChooseEndpoint, Fleet, FleetSettings
+from benchmarks.report import Row, find_percentiles, write_report
+from benchmarks.traffic import OfferedRequest, make_requests
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Workspace
 from bergamotwood_core.ids import EndpointId
 from bergamotwood_core.placement import PlacementRequirements, choose_endpoint
 from bergamotwood_core.tables import DirectoryTables
 
-WARM_SECONDS = 30.0
+WARMUP_SECONDS = 30.0
 RUN_SECONDS = 210.0
 DRAIN_SECONDS = 60.0
-FAULT_AT = 60.0
+FAULT_START_SECONDS = 60.0
 CHUNK_TIMEOUT_SECONDS = 5.0
 WORKSPACES = {
     name: Workspace(name=name, max_in_flight=10_000) for name in ("kubwa", "colofn")
 }
 
 
-def list_allowed(
-    tables: DirectoryTables, need: PlacementRequirements
+def list_candidates(
+    tables: DirectoryTables, requirements: PlacementRequirements
 ) -> list[EndpointId]:
     """List the endpoints that a baseline may choose."""
-    return [id_ for id_ in tables.endpoints if id_ not in need.excluded]
+    return [id_ for id_ in tables.endpoints if id_ not in requirements.excluded]
 
 
-def make_round_robin() -> Choose:
+def make_round_robin() -> ChooseEndpoint:
     """Make a round robin over all endpoints, each entry with its own turn."""
     turns: dict[int, int] = {}
 
     def choose(
-        tables: DirectoryTables, need: PlacementRequirements, now: Seconds, rng: Random
+        tables: DirectoryTables,
+        requirements: PlacementRequirements,
+        now: Seconds,
+        rng: Random,
     ) -> EndpointId | None:
-        allowed = sorted(list_allowed(tables, need))
-        if not allowed:
+        candidates = sorted(list_candidates(tables, requirements))
+        if not candidates:
             return None
         turn = turns.get(id(tables), rng.randrange(1_000))
         turns[id(tables)] = turn + 1
-        return allowed[turn % len(allowed)]
+        return candidates[turn % len(candidates)]
 
     return choose
 
 
-def choose_least(
-    tables: DirectoryTables, need: PlacementRequirements, now: Seconds, rng: Random
+def choose_least_loaded(
+    tables: DirectoryTables,
+    requirements: PlacementRequirements,
+    now: Seconds,
+    rng: Random,
 ) -> EndpointId | None:
     """Choose the least reported load."""
-    allowed = list_allowed(tables, need)
-    rng.shuffle(allowed)
+    candidates = list_candidates(tables, requirements)
+    rng.shuffle(candidates)
     rows = tables.endpoints
-    return min(allowed, key=lambda id_: rows[id_].announcement.load, default=None)
+    return min(candidates, key=lambda id_: rows[id_].announcement.load, default=None)
 
 
-def choose_two(
-    tables: DirectoryTables, need: PlacementRequirements, now: Seconds, rng: Random
+def choose_of_two(
+    tables: DirectoryTables,
+    requirements: PlacementRequirements,
+    now: Seconds,
+    rng: Random,
 ) -> EndpointId | None:
     """Choose the less loaded by report of two random endpoints."""
-    allowed = list_allowed(tables, need)
-    drawn = rng.sample(allowed, min(2, len(allowed)))
+    candidates = list_candidates(tables, requirements)
+    sampled = rng.sample(candidates, min(2, len(candidates)))
     rows = tables.endpoints
-    return min(drawn, key=lambda id_: rows[id_].announcement.load, default=None)
+    return min(sampled, key=lambda id_: rows[id_].announcement.load, default=None)
 
 
 POLICIES = {
     "round_robin": make_round_robin,
-    "least_load": lambda: choose_least,
-    "two_choices": lambda: choose_two,
+    "least_load": lambda: choose_least_loaded,
+    "two_choices": lambda: choose_of_two,
     "ours": lambda: choose_endpoint,
 }
 
 
-def apply_fault(fleet: Fleet, fault: str) -> None:
+def inject_fault(fleet: Fleet, fault: str) -> None:
     """Cause a fault in the running fleet."""
     engines = list(fleet.engines.values())
     match fault:
         case "slow":
-            engines[0].health = Health.SLOW
+            engines[0].health = EngineHealth.SLOW
         case "silent":
             engines[0].silence(CHUNK_TIMEOUT_SECONDS)
         case "centre":
             for engine in engines[:: fleet.settings.data_centres]:
-                lose_engine(engine)
+                remove_engine(engine)
 
 
-def lose_engine(engine: Engine) -> None:
+def remove_engine(engine: Engine) -> None:
     """Take an engine away for good."""
     engine.crash(1e9)
 
@@ -103,60 +112,61 @@
     """
     full = replace(settings, admission=False, silence_seconds=1e9)
     fleet = Fleet(full, choose_endpoint, seed, WORKSPACES)
-    offers = make_offers(100.0, 1e9, Random(seed))
+    requests = make_requests(100.0, 1e9, Random(seed))
     ends: list[float] = []
 
     def send() -> None:
-        offer = next(offers)
-        offer.at = fleet.agenda.now
-        fleet.offer(offer)
+        request = next(requests)
+        request.arrived_at = fleet.simulation.now
+        fleet.submit(request)
 
-    def end(_: Offer) -> None:
-        ends.append(fleet.agenda.now)
+    def end(_: OfferedRequest) -> None:
+        ends.append(fleet.simulation.now)
         send()
 
     fleet.on_end = end
     for _ in range(settings.engines * settings.engine.capacity):
         send()
     fleet.run([], RUN_SECONDS)
-    return sum(at > WARM_SECONDS for at in ends) / (RUN_SECONDS - WARM_SECONDS)
+    return sum(at > WARMUP_SECONDS for at in ends) / (RUN_SECONDS - WARMUP_SECONDS)
 
 
 def run_case(
     policy: str, rate: float, fault: str, settings: FleetSettings, seed: int
-) -> tuple[Fleet, list[Offer]]:
+) -> tuple[Fleet, list[OfferedRequest]]:
     """Run one policy at one rate under one fault."""
     fleet = Fleet(settings, POLICIES[policy](), seed, WORKSPACES)
-    offers = list(make_offers(rate, RUN_SECONDS, Random(seed + 1)))
-    fleet.agenda.add(FAULT_AT, lambda: apply_fault(fleet, fault))
-    fleet.run(offers, RUN_SECONDS + DRAIN_SECONDS)
-    return fleet, offers
+    requests = list(make_requests(rate, RUN_SECONDS, Random(seed + 1)))
+    fleet.simulation.schedule(FAULT_START_SECONDS, lambda: inject_fault(fleet, fault))
+    fleet.run(requests, RUN_SECONDS + DRAIN_SECONDS)
+    return fleet, requests
 
 
-def summarize(fleet: Fleet, offers: list[Offer]) -> Row:
+def summarize(fleet: Fleet, requests: list[OfferedRequest]) -> Row:
     """Sum a run up, without its warm-up."""
-    counted = [offer for offer in offers if offer.at > WARM_SECONDS]
-    done = [offer for offer in counted if offer.done_at is not None]
-    first = find_quantiles([o.first_at - o.at for o in done])
-    whole = find_quantiles([o.done_at - o.at for o in done])
-    reusable = sum(o.kind.prefix_tokens for o in done)
+    counted = [request for request in requests if request.arrived_at > WARMUP_SECONDS]
+    finished = [request for request in counted if request.finished_at is not None]
+    first_tokens = find_percentiles([o.first_token_at - o.arrived_at for o in finished])
+    completions = find_percentiles([o.finished_at - o.arrived_at for o in finished])
+    reusable = sum(o.kind.prefix_tokens for o in finished)
     return {
-        "goodput": sum(o.good for o in counted) / (RUN_SECONDS - WARM_SECONDS),
-        "first50": first[0],
-        "first95": first[1],
-        "first99": first[2],
-        "done50": whole[0],
-        "done95": whole[1],
-        "done99": whole[2],
-        "hits": sum(o.cached for o in done) / max(1, reusable),
+        "goodput": sum(o.met_deadline for o in counted)
+        / (RUN_SECONDS - WARMUP_SECONDS),
+        "first50": first_tokens[0],
+        "first95": first_tokens[1],
+        "first99": first_tokens[2],
+        "done50": completions[0],
+        "done95": completions[1],
+        "done99": completions[2],
+        "hits": sum(o.cached_tokens for o in finished) / max(1, reusable),
         "refused": sum(o.refused for o in counted) / len(counted),
         "failed": sum(o.failed for o in counted) / len(counted),
         "unanswered": sum(
-            o.done_at is None and not o.refused and not o.failed for o in counted
+            o.finished_at is None and not o.refused and not o.failed for o in counted
         ),
-        "attempts": fleet.attempts / len(offers),
-        "wasted": fleet.wasted / max(1.0, fleet.work),
-        "spilled": fleet.spilled / max(1, fleet.attempts),
+        "attempts": fleet.attempts / len(requests),
+        "wasted": fleet.wasted_work / max(1.0, fleet.total_work),
+        "spilled": fleet.remote_attempts / max(1, fleet.attempts),
     }
 
 
@@ -179,10 +189,10 @@
         for level in map(float, levels.split(",")):
             for policy in policies.split(","):
                 rate = capacity * level
-                fleet, offers = run_case(policy, rate, fault, settings, seed)
-                head: Row = {"fault": fault, "level": level, "policy": policy}
-                rows.append(head | summarize(fleet, offers))
-    write_figures("placement", seed, rows)
+                fleet, requests = run_case(policy, rate, fault, settings, seed)
+                labels: Row = {"fault": fault, "level": level, "policy": policy}
+                rows.append(labels | summarize(fleet, requests))
+    write_report("placement", seed, rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -7,8 +7,8 @@
 
 from click import command, option
 
-from benchmarks.agenda import Agenda
-from benchmarks.figures import Row, find_quantiles, write_figures
+from benchmarks.report import Row, find_percentiles, write_report
+from benchmarks.simulation import Simulation
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.ids import EndpointId, Fingerprint, Incarnation
 from bergamotwood_core.quarantine import (
@@ -33,13 +33,13 @@
 POISON_SHARE = 0.001
 COMMON_SHARE = 0.05
 SERVICE_SECONDS = 4.0
-FUSE_SECONDS = 0.3
-DOWN_SECONDS = 5.0
+CRASH_DELAY_SECONDS = 0.3
+RESTART_SECONDS = 5.0
 COMMIT_SECONDS = 0.01
 RESENDS = 5
 RESEND_SECONDS = 0.2
-IMPATIENT_SHARE = 0.3
-MAX_PLAIN_ATTEMPTS = 6
+DUPLICATE_SHARE = 0.3
+MAX_ATTEMPTS = 6
 
 
 class Incident(NamedTuple):
@@ -63,12 +63,12 @@
 
     fingerprint: Fingerprint
     poison: bool
-    at: float
-    seconds: float
+    sent_at: float
+    service_seconds: float
     resends: int
     entry: "EntryFake"
     attempts: int = 0
-    granted: bool = False
+    recorded_first: bool = False
     suspected_at: float | None = None
 
 
@@ -90,7 +90,7 @@
     suspects: dict[Fingerprint, Suspect] = field(default_factory=dict)
     isolation: Isolation = field(default_factory=Isolation)
     finished: FinishedRequests = field(default_factory=FinishedRequests)
-    heard_at: float = 0.0
+    updated_at: float = 0.0
 
 
 @dataclass
@@ -101,17 +101,17 @@
     ----------
     name : str
         For the table.
-    rules : bool
+    record_suspects : bool
         Whether suspects are recorded at all.
-    settle : bool
+    single_retry : bool
         Whether suspects wait and only the first recorder retries.
     lag_seconds : float
         Longest time for a record to reach an entry.
     """
 
     name: str
-    rules: bool
-    settle: bool
+    record_suspects: bool
+    single_retry: bool
     lag_seconds: float
 
 
@@ -129,28 +129,28 @@
     def __init__(self, case: Case, seed: int) -> None:
         self.case = case
         self.rng = Random(seed)
-        self.agenda = Agenda()
+        self.simulation = Simulation()
         self.endpoints = [
             EndpointFake(EndpointId(f"e{number}")) for number in range(ENDPOINTS)
         ]
         self.entries = [EntryFake(number) for number in range(ENTRIES)]
-        self.log: dict[Fingerprint, Suspect] = {}
+        self.committed_suspects: dict[Fingerprint, Suspect] = {}
         self.reports: set[tuple[Fingerprint, Incident]] = set()
         self.crashes: dict[Fingerprint, int] = {}
-        self.innocents = 0
-        self.innocents_refused = 0
-        self.innocents_failed = 0
-        self.answered: list[float] = []
+        self.harmless = 0
+        self.harmless_refused = 0
+        self.harmless_failed = 0
+        self.latencies: list[float] = []
         self.clear_seconds: list[float] = []
 
     def run(self) -> None:
         """Run all callers to an end."""
         time, number = self.rng.expovariate(RATE), 0
         while time < RUN_SECONDS:
-            self.agenda.add(time, lambda n=number: self._arrive(n))
+            self.simulation.schedule(time, lambda n=number: self._arrive(n))
             time += self.rng.expovariate(RATE)
             number += 1
-        self.agenda.run(RUN_SECONDS + DRAIN_SECONDS)
+        self.simulation.run(RUN_SECONDS + DRAIN_SECONDS)
 
     def _arrive(self, number: int) -> None:
         """Let a caller make one request, sometimes twice at once."""
@@ -160,12 +160,12 @@
         if poison:
             self.crashes[Fingerprint(name)] = 0
         else:
-            self.innocents += 1
+            self.harmless += 1
         seconds = self.rng.gammavariate(2.0, SERVICE_SECONDS / 2)
         self._send(Fingerprint(name), poison, seconds, RESENDS)
-        if poison and self.rng.random() < IMPATIENT_SHARE:
-            self.agenda.add(
-                FUSE_SECONDS / 2,
+        if poison and self.rng.random() < DUPLICATE_SHARE:
+            self.simulation.schedule(
+                CRASH_DELAY_SECONDS / 2,
                 lambda: self._send(Fingerprint(name), poison, seconds, 0),
             )
 
@@ -174,154 +174,172 @@
     ) -> None:
         """Bring a request to a random entry, under a new key."""
         entry = self.rng.choice(self.entries)
-        now = self.agenda.now
+        now = self.simulation.now
         self._plan(Call(fingerprint, poison, now, seconds, resends, entry))
 
     def _plan(self, call: Call) -> None:
         """Run, hold or refuse a request by what its entry knows."""
         clearance = check_fingerprint(call.entry.suspects, call.fingerprint)
-        if not self.case.settle:
-            refused = self.case.rules and call.fingerprint in call.entry.suspects
+        if not self.case.single_retry:
+            refused = (
+                self.case.record_suspects and call.fingerprint in call.entry.suspects
+            )
             refused = refused and not isinstance(clearance, Isolated)
             self._refuse(call) if refused else self._place(call, clearance)
             return
         known = call.fingerprint in call.entry.suspects
         if (known or call.attempts) and call.suspected_at is None:
-            call.suspected_at = self.agenda.now
+            call.suspected_at = self.simulation.now
         waited = 0.0
         if call.suspected_at is not None:
-            waited = self.agenda.now - call.suspected_at
-        match plan_dispatch(clearance, call.attempts > 0, call.granted, waited):
+            waited = self.simulation.now - call.suspected_at
+        match plan_dispatch(clearance, call.attempts > 0, call.recorded_first, waited):
             case RunNow():
                 self._place(call, clearance)
             case WaitFor(seconds):
-                self._again(call, min(seconds, 0.25))
+                self._plan_later(call, min(seconds, 0.25))
             case RefuseRequest():
                 self._refuse(call)
 
-    def _again(self, call: Call, seconds: float) -> None:
-        self.agenda.add(max(0.01, seconds), lambda: self._plan(call))
+    def _plan_later(self, call: Call, seconds: float) -> None:
+        self.simulation.schedule(max(0.01, seconds), lambda: self._plan(call))
 
     def _place(self, call: Call, clearance: object) -> None:
         """Send a request to the least busy endpoint that may have it."""
         entry = call.entry
-        up = [row for row in self.endpoints if row.up]
+        up = [candidate for candidate in self.endpoints if candidate.up]
         assigned: dict[Fingerprint, EndpointId] = {}
-        if self.case.settle:
-            assigned = assign_endpoints(entry.suspects, [row.id for row in up])
-        isolated = isinstance(clearance, Isolated) and self.case.rules
-        if isolated and self.case.settle:
-            fit = [row for row in up if row.id == assigned.get(call.fingerprint)]
+        if self.case.single_retry:
+            assigned = assign_endpoints(
+                entry.suspects, [candidate.id for candidate in up]
+            )
+        isolated = isinstance(clearance, Isolated) and self.case.record_suspects
+        if isolated and self.case.single_retry:
+            allowed = [
+                candidate
+                for candidate in up
+                if candidate.id == assigned.get(call.fingerprint)
+            ]
         else:
-            taken = entry.isolation.endpoints | set(assigned.values())
-            fit = [row for row in up if row.id not in taken]
-        if not fit:
-            self._again(call, 0.1)
+            reserved = entry.isolation.endpoints | set(assigned.values())
+            allowed = [candidate for candidate in up if candidate.id not in reserved]
+        if not allowed:
+            self._plan_later(call, 0.1)
             return
-        drawn = fit if isolated else self.rng.sample(fit, min(2, len(fit)))
-        endpoint = min(drawn, key=lambda row: len(row.running))
+        sampled = (
+            allowed if isolated else self.rng.sample(allowed, min(2, len(allowed)))
+        )
+        endpoint = min(sampled, key=lambda candidate: len(candidate.running))
         if isolated and not entry.isolation.start(call.fingerprint, endpoint.id):
-            self._again(call, 0.1)
+            self._plan_later(call, 0.1)
             return
         self._start(call, endpoint)
 
     def _start(self, call: Call, endpoint: EndpointFake) -> None:
         call.attempts += 1
         endpoint.running.add(call)
-        born = endpoint.incarnation
+        incarnation = endpoint.incarnation
         if call.poison:
-            self.agenda.add(FUSE_SECONDS, lambda: self._burn(call, endpoint, born))
+            self.simulation.schedule(
+                CRASH_DELAY_SECONDS, lambda: self._crash(call, endpoint, incarnation)
+            )
             return
-        self.agenda.add(call.seconds, lambda: self._finish(call, endpoint, born))
+        self.simulation.schedule(
+            call.service_seconds, lambda: self._finish(call, endpoint, incarnation)
+        )
 
-    def _burn(self, call: Call, endpoint: EndpointFake, born: Incarnation) -> None:
+    def _crash(
+        self, call: Call, endpoint: EndpointFake, incarnation: Incarnation
+    ) -> None:
         """Crash the endpoint, if it still runs the call."""
-        if endpoint.incarnation != born or call not in endpoint.running:
+        if endpoint.incarnation != incarnation or call not in endpoint.running:
             return
         self.crashes[call.fingerprint] += 1
         lost, endpoint.running = endpoint.running, set()
-        incident = Incident(endpoint.id, born)
-        endpoint.incarnation = Incarnation(born + 1)
+        incident = Incident(endpoint.id, incarnation)
+        endpoint.incarnation = Incarnation(incarnation + 1)
         endpoint.up = False
-        self.agenda.add(DOWN_SECONDS, lambda: setattr(endpoint, "up", True))
-        for other in sorted(lost, key=lambda item: (item.fingerprint, item.at)):
+        self.simulation.schedule(RESTART_SECONDS, lambda: setattr(endpoint, "up", True))
+        for other in sorted(lost, key=lambda item: (item.fingerprint, item.sent_at)):
             other.entry.isolation.stop(other.fingerprint, endpoint.id)
-            self.agenda.add(
+            self.simulation.schedule(
                 COMMIT_SECONDS, lambda other=other: self._record(other, incident)
             )
 
     def _record(self, call: Call, incident: Incident) -> None:
         """Commit a crash record and go on by its answer."""
-        known_good = self.case.settle and call.fingerprint in call.entry.finished
-        if self.case.rules and not known_good:
+        known_good = self.case.single_retry and call.fingerprint in call.entry.finished
+        if self.case.record_suspects and not known_good:
             report = (call.fingerprint, incident)
-            call.granted = report not in self.reports
-            call.suspected_at = self.agenda.now
-            if call.granted:
+            call.recorded_first = report not in self.reports
+            call.suspected_at = self.simulation.now
+            if call.recorded_first:
                 self.reports.add(report)
-                self._spread(
+                self._replicate(
                     call.entry,
                     lambda table: record_incident(table, call.fingerprint, incident),
                 )
-        if call.attempts >= MAX_PLAIN_ATTEMPTS:
+        if call.attempts >= MAX_ATTEMPTS:
             self._fail(call)
             return
         self._plan(call)
 
-    def _finish(self, call: Call, endpoint: EndpointFake, born: Incarnation) -> None:
-        if endpoint.incarnation != born or call not in endpoint.running:
+    def _finish(
+        self, call: Call, endpoint: EndpointFake, incarnation: Incarnation
+    ) -> None:
+        if endpoint.incarnation != incarnation or call not in endpoint.running:
             return
         endpoint.running.discard(call)
         call.entry.finished.add(call.fingerprint)
         call.entry.isolation.stop(call.fingerprint, endpoint.id)
-        self.answered.append(self.agenda.now - call.at)
+        self.latencies.append(self.simulation.now - call.sent_at)
         if call.fingerprint in call.entry.suspects:
             self._clear(call)
 
     def _clear(self, call: Call) -> None:
         """Commit that a suspect has finished."""
         if call.suspected_at is not None:
-            self.clear_seconds.append(self.agenda.now - call.suspected_at)
+            self.clear_seconds.append(self.simulation.now - call.suspected_at)
 
         def clear(table: dict[Fingerprint, Suspect]) -> None:
             suspect = table.get(call.fingerprint)
-            if suspect is not None and (self.case.settle or suspect.crashes < 2):
+            if suspect is not None and (self.case.single_retry or suspect.crashes < 2):
                 del table[call.fingerprint]
 
-        self._spread(call.entry, clear)
+        self._replicate(call.entry, clear)
 
-    def _spread(
+    def _replicate(
         self, recorder: EntryFake, change: Callable[[dict[Fingerprint, Suspect]], None]
     ) -> None:
         """Apply a change to the log, then to every entry in order, with a lag."""
-        change(self.log)
-        now = self.agenda.now
+        change(self.committed_suspects)
+        now = self.simulation.now
         for entry in self.entries:
             lag = self.rng.uniform(0.0, self.case.lag_seconds)
             if entry is recorder:
                 lag = 0.0
-            entry.heard_at = Seconds(max(entry.heard_at, now + lag))
-            delay = entry.heard_at - now
-            self.agenda.add(delay, lambda table=entry.suspects: change(table))
+            entry.updated_at = Seconds(max(entry.updated_at, now + lag))
+            delay = entry.updated_at - now
+            self.simulation.schedule(delay, lambda table=entry.suspects: change(table))
 
     def _refuse(self, call: Call) -> None:
         if not call.poison:
-            self.innocents_refused += 1
-        self._end(call)
+            self.harmless_refused += 1
+        self._schedule_resend(call)
 
     def _fail(self, call: Call) -> None:
         if not call.poison:
-            self.innocents_failed += 1
-        self._end(call)
+            self.harmless_failed += 1
+        self._schedule_resend(call)
 
-    def _end(self, call: Call) -> None:
+    def _schedule_resend(self, call: Call) -> None:
         """Let the caller of a failed request send it again."""
         if not call.resends:
             return
-        self.agenda.add(
+        self.simulation.schedule(
             RESEND_SECONDS,
             lambda: self._send(
-                call.fingerprint, call.poison, call.seconds, call.resends - 1
+                call.fingerprint, call.poison, call.service_seconds, call.resends - 1
             ),
         )
 
@@ -332,9 +350,9 @@
     for fleet in fleets:
         fleet.run()
     crashes = [count for fleet in fleets for count in fleet.crashes.values()]
-    cleared = find_quantiles([s for fleet in fleets for s in fleet.clear_seconds])
-    latency = find_quantiles([s for fleet in fleets for s in fleet.answered])
-    innocents = sum(fleet.innocents for fleet in fleets)
+    cleared = find_percentiles([s for fleet in fleets for s in fleet.clear_seconds])
+    latency = find_percentiles([s for fleet in fleets for s in fleet.latencies])
+    harmless = sum(fleet.harmless for fleet in fleets)
     return {
         "rules": case.name,
         "lag": case.lag_seconds,
@@ -342,9 +360,9 @@
         "crashes_mean": sum(crashes) / max(1, len(crashes)),
         "crashes_max": max(crashes, default=0),
         "above_2": sum(count > QUARANTINE_CRASHES for count in crashes),
-        "innocents": innocents,
-        "refused": sum(fleet.innocents_refused for fleet in fleets),
-        "failed": sum(fleet.innocents_failed for fleet in fleets),
+        "innocents": harmless,
+        "refused": sum(fleet.harmless_refused for fleet in fleets),
+        "failed": sum(fleet.harmless_failed for fleet in fleets),
         "clear50": cleared[0],
         "clear99": cleared[2],
         "done99": latency[2],
@@ -352,10 +370,10 @@
 
 
 CASES = (
-    Case("none", rules=False, settle=False, lag_seconds=0.2),
-    Case("retry at once", rules=True, settle=False, lag_seconds=0.2),
-    Case("settle", rules=True, settle=True, lag_seconds=0.2),
-    Case("settle", rules=True, settle=True, lag_seconds=1.0),
+    Case("none", record_suspects=False, single_retry=False, lag_seconds=0.2),
+    Case("retry at once", record_suspects=True, single_retry=False, lag_seconds=0.2),
+    Case("settle", record_suspects=True, single_retry=True, lag_seconds=0.2),
+    Case("settle", record_suspects=True, single_retry=True, lag_seconds=1.0),
 )
 
 
@@ -365,8 +383,8 @@
 def main(seed: int, seeds: int) -> None:
     """Run every set of rules."""
     print(f"seeds {seed} to {seed + seeds - 1}")
-    span = range(seed, seed + seeds)
-    write_figures("poison", seed, [run_case(case, span) for case in CASES])
+    seed_range = range(seed, seed + seeds)
+    write_report("poison", seed, [run_case(case, seed_range) for case in CASES])
 
 
 if __name__ == "__main__":
--- a/benchmarks/figures.py
+++ b/benchmarks/report.py
@@ -6,12 +6,12 @@
 
 from numpy import percentile
 
-OUT = Path("out")
+OUTPUT_FOLDER = Path("out")
 
 Row = dict[str, float | int | str]
 
 
-def write_figures(name: str, seed: int, rows: Sequence[Row]) -> None:
+def write_report(name: str, seed: int, rows: Sequence[Row]) -> None:
     """Print rows as a table and write them as JSON with the seed."""
     write_json(name, seed, rows)
     print_table(rows)
@@ -19,9 +19,9 @@
 
 def write_json(name: str, seed: int, rows: Sequence[Row]) -> None:
     """Write rows as JSON with the seed."""
-    OUT.mkdir(exist_ok=True)
+    OUTPUT_FOLDER.mkdir(exist_ok=True)
     text = dumps({"bench": name, "seed": seed, "rows": list(rows)}, indent=1)
-    (OUT / f"{name}.json").write_text(text + "\n")
+    (OUTPUT_FOLDER / f"{name}.json").write_text(text + "\n")
 
 
 def print_table(rows: Sequence[Row]) -> None:
@@ -37,7 +37,7 @@
         )
 
 
-def find_quantiles(values: Sequence[float]) -> tuple[float, float, float]:
+def find_percentiles(values: Sequence[float]) -> tuple[float, float, float]:
     """Find the 50th, 95th and 99th percentile; zeros when there are no values."""
     if not values:
         return 0.0, 0.0, 0.0
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -29,7 +29,7 @@
 REQUESTS_PER_SECOND = 10.0
 MAX_SECONDS = 14_400.0
 # Time until a committed change of the progress is in force at the entries.
-FORCE_SECONDS = 5.0
+PROPAGATION_SECONDS = 5.0
 # Share of the answers that are rated, and the time that it takes.
 CURRENT_RATED = 0.1
 CANDIDATE_RATED = 0.5
@@ -37,12 +37,12 @@
 ANSWER_SECONDS = 5.0
 # Candidate's requests of a stage within which a version that turns bad does so; the
 # stage is any of them, alike.
-TURN_WITHIN = 50
+REGRESSION_REQUESTS = 50
 # Time without a leader when one is lost, and when it is lost.
 LEADER_LOST_AT = 300.0
 LEADER_LOST_SECONDS = 15.0
 # Time from a canary's last request to its stop in force, as for the roll-outs.
-CANARY_DELAY = ANSWER_SECONDS + RATING_SECONDS + 5.0 + FORCE_SECONDS
+CANARY_DELAY_SECONDS = ANSWER_SECONDS + RATING_SECONDS + 5.0 + PROPAGATION_SECONDS
 DRAWS = 200_000
 TICKET = TicketNumber(1)
 STAGES = (0.01, 0.05, 0.25, 1.0)
@@ -167,22 +167,22 @@
     return rng.beta(means * 8.0, (1.0 - means) * 8.0)
 
 
-class ArmFlow:
+class Arm:
     """Requests of one version at one entry, with what is still to come of them."""
 
-    def __init__(self, rated: float, rng: np.random.Generator) -> None:
+    def __init__(self, rated_share: float, rng: np.random.Generator) -> None:
         self.counts = ArmCounts()
-        self.rated = rated
+        self.rated_share = rated_share
         self.rng = rng
         self.answers: list[tuple[float, int, Bins]] = []
         self.ratings: list[tuple[float, np.ndarray]] = []
 
-    def start(self, now: float, count: int, bins: Bins) -> None:
+    def dispatch(self, now: float, count: int, bins: Bins) -> None:
         """Dispatch requests."""
         self.counts.started += count
         self.answers.append((now + ANSWER_SECONDS, count, bins))
 
-    def settle(self, now: float) -> None:
+    def process_due(self, now: float) -> None:
         """Count the answers and the ratings that are due."""
         while self.answers and self.answers[0][0] <= now:
             _, count, bins = self.answers.pop(0)
@@ -197,7 +197,7 @@
         self.counts.failed += failed
         latencies = self.rng.multinomial(count - failed, bins.latencies)
         self.counts.latencies = (latencies + self.counts.latencies).tolist()
-        rated = self.rng.binomial(count - failed, self.rated)
+        rated = self.rng.binomial(count - failed, self.rated_share)
         scores = self.rng.multinomial(rated, bins.scores)
         self.ratings.append((now + RATING_SECONDS, scores))
 
@@ -224,24 +224,24 @@
         self.setting = setting
         self.bins = bins
         self.rng = np.random.default_rng(seed)
-        self.turn_stage = int(self.rng.integers(0, len(STAGES)))
-        self.turn_after = int(self.rng.integers(0, TURN_WITHIN))
+        self.bad_stage = int(self.rng.integers(0, len(STAGES)))
+        self.bad_after = int(self.rng.integers(0, REGRESSION_REQUESTS))
         self.names = [RolloutId(f"r{index}") for index in range(setting.rollouts)]
         self.configuration = _make_configuration(self.names)
         self.directory = _make_directory(self.names)
         self.monitors: dict[RolloutId, RolloutMonitor] = {}
-        self.flows = {
+        self.traffic = {
             name: [
-                (ArmFlow(CANDIDATE_RATED, self.rng), ArmFlow(CURRENT_RATED, self.rng))
+                (Arm(CANDIDATE_RATED, self.rng), Arm(CURRENT_RATED, self.rng))
                 for _ in range(setting.entries)
             ]
             for name in self.names
         }
-        self.in_force = dict.fromkeys(self.names, (0, RolloutState.RUNNING))
-        self.coming: list[tuple[float, RolloutId, int, RolloutState]] = []
+        self.active = dict.fromkeys(self.names, (0, RolloutState.RUNNING))
+        self.pending: list[tuple[float, RolloutId, int, RolloutState]] = []
         self.reports: list[tuple[float, list[RolloutReport]]] = []
-        self.bad = dict.fromkeys(self.names, 0)
-        self.before: dict[RolloutId, int] = {}
+        self.bad_requests = dict.fromkeys(self.names, 0)
+        self.started_before: dict[RolloutId, int] = {}
         self.ended: dict[RolloutId, float] = {}
         self.sequence = 0
 
@@ -250,42 +250,42 @@
         now = 0.0
         while now < MAX_SECONDS and len(self.ended) < len(self.names):
             now += TICK_SECONDS
-            self._take_effect(now)
+            self._apply_changes(now)
             for name in self.names:
                 self._send_traffic(name, now)
             self._report(now)
-            self._judge(now)
+            self._evaluate(now)
         return [self._find_result(name, now) for name in self.names]
 
-    def _take_effect(self, now: float) -> None:
-        while self.coming and self.coming[0][0] <= now:
-            _, name, stage, state = self.coming.pop(0)
-            self.in_force[name] = (stage, state)
+    def _apply_changes(self, now: float) -> None:
+        while self.pending and self.pending[0][0] <= now:
+            _, name, stage, state = self.pending.pop(0)
+            self.active[name] = (stage, state)
             if state is not RolloutState.RUNNING:
                 self.ended.setdefault(name, now)
 
     def _send_traffic(self, name: RolloutId, now: float) -> None:
-        stage, state = self.in_force[name]
+        stage, state = self.active[name]
         share = STAGES[stage] if state is RolloutState.RUNNING else 0.0
         mean = REQUESTS_PER_SECOND * TICK_SECONDS / self.setting.entries
-        turned = self.trial.after is not None and self._has_turned(name, stage)
-        behaviour = self.trial.after if turned else self.trial.before
-        for candidate, current in self.flows[name]:
+        bad = self.trial.after is not None and self._is_bad(name, stage)
+        behaviour = self.trial.after if bad else self.trial.before
+        for candidate, current in self.traffic[name]:
             count = int(self.rng.poisson(mean))
             chosen = int(self.rng.binomial(count, share))
-            candidate.settle(now)
-            current.settle(now)
-            candidate.start(now, chosen, self.bins[behaviour])
-            current.start(now, count - chosen, self.bins[GOOD])
-            if self.trial.after is None or turned:
-                self.bad[name] += chosen
-
-    def _has_turned(self, name: RolloutId, stage: int) -> bool:
-        if stage != self.turn_stage:
-            return stage > self.turn_stage
-        exposed = sum(pair[0].counts.started for pair in self.flows[name])
-        before = self.before.setdefault(name, exposed)
-        return exposed - before >= self.turn_after
+            candidate.process_due(now)
+            current.process_due(now)
+            candidate.dispatch(now, chosen, self.bins[behaviour])
+            current.dispatch(now, count - chosen, self.bins[GOOD])
+            if self.trial.after is None or bad:
+                self.bad_requests[name] += chosen
+
+    def _is_bad(self, name: RolloutId, stage: int) -> bool:
+        if stage != self.bad_stage:
+            return stage > self.bad_stage
+        exposed = sum(pair[0].counts.started for pair in self.traffic[name])
+        started_before = self.started_before.setdefault(name, exposed)
+        return exposed - started_before >= self.bad_after
 
     def _report(self, now: float) -> None:
         self.sequence += 1
@@ -299,13 +299,13 @@
                 current.counts.copy(),
             )
             for name in self.names
-            for entry, (candidate, current) in enumerate(self.flows[name])
+            for entry, (candidate, current) in enumerate(self.traffic[name])
         ]
         self.reports.append((now + self.setting.report_seconds, reports))
 
-    def _judge(self, now: float) -> None:
-        lost = now - LEADER_LOST_AT
-        if self.setting.lose_leader and 0.0 <= lost < LEADER_LOST_SECONDS:
+    def _evaluate(self, now: float) -> None:
+        leaderless = now - LEADER_LOST_AT
+        if self.setting.lose_leader and 0.0 <= leaderless < LEADER_LOST_SECONDS:
             self.monitors = {}
             return
         changes = advance_rollouts(
@@ -317,12 +317,12 @@
         for change in changes:
             progress = change.progress
             self.configuration.progress[change.rollout] = progress
-            due = now + FORCE_SECONDS
-            self.coming.append((due, change.rollout, progress.stage, progress.state))
+            due = now + PROPAGATION_SECONDS
+            self.pending.append((due, change.rollout, progress.stage, progress.state))
 
     def _find_result(self, name: RolloutId, now: float) -> Result:
         state = self.configuration.progress[name].state
-        return Result(state, self.bad[name], self.ended.get(name, now))
+        return Result(state, self.bad_requests[name], self.ended.get(name, now))
 
 
 def _make_configuration(names: Sequence[RolloutId]) -> ConfigurationTables:
@@ -364,20 +364,20 @@
         By stage.
     step : int
         Candidate's requests in a stage.
-    turn_after : int
+    bad_after : int
         Candidate's requests before it was bad.
     """
 
     statistics: tuple[float, ...]
     step: int
-    turn_after: int
+    bad_after: int
 
-    def find_exposed(self, limit: float) -> tuple[bool, float]:
+    def count_exposed(self, limit: float) -> tuple[bool, float]:
         """Whether it stops at a limit, and the bad requests until then."""
         exposed = 0.0
         for stage, statistic in enumerate(self.statistics):
-            late = STAGES[stage] * REQUESTS_PER_SECOND * CANARY_DELAY
-            exposed = max((stage + 1) * self.step + late - self.turn_after, 0.0)
+            delayed = STAGES[stage] * REQUESTS_PER_SECOND * CANARY_DELAY_SECONDS
+            exposed = max((stage + 1) * self.step + delayed - self.bad_after, 0.0)
             if statistic > limit:
                 return True, exposed
         return False, exposed
@@ -390,40 +390,40 @@
 
     A version that turns bad does so at any of its requests, alike.
     """
-    turn_after = 0
+    bad_after = 0
     if trial.after is not None:
-        turn_after = int(rng.integers(0, step * len(STAGES)))
+        bad_after = int(rng.integers(0, step * len(STAGES)))
     statistics: list[float] = []
     for stage, share in enumerate(STAGES):
-        turned = 0
+        bad = 0
         if trial.after is not None:
-            turned = min(max((stage + 1) * step - turn_after, 0), step)
-        parts = [(trial.before, step - turned), (trial.after or GOOD, turned)]
+            bad = min(max((stage + 1) * step - bad_after, 0), step)
+        parts = [(trial.before, step - bad), (trial.after or GOOD, bad)]
         current = min(int(step * max(1.0 / share - 1.0, 3.0)), 20_000)
-        tests = [
-            _compare(parts, current, metric, bins, rng)
+        z_statistics = [
+            _compute_z(parts, current, metric, bins, rng)
             for metric in ("failures", "latencies", "scores")
         ]
-        statistics.append(max(tests))
-    return CanaryRun(tuple(statistics), step, turn_after)
+        statistics.append(max(z_statistics))
+    return CanaryRun(tuple(statistics), step, bad_after)
 
 
-def _compare(
+def _compute_z(
     parts: Sequence[tuple[Behaviour, int]],
     current: int,
     metric: str,
     bins: dict[Behaviour, Bins],
     rng: np.random.Generator,
 ) -> float:
-    new = np.concatenate([_draw(b, n, metric, True, rng) for b, n in parts])
-    old = _draw(GOOD, current, metric, False, rng)
+    new = np.concatenate([_draw_metric(b, n, metric, True, rng) for b, n in parts])
+    old = _draw_metric(GOOD, current, metric, False, rng)
     if len(new) < 2 or len(old) < 2:
         return 0.0
     spread = sqrt(float(new.var() / len(new) + old.var() / len(old)))
     return float(new.mean() - old.mean()) / max(spread, 1e-9)
 
 
-def _draw(
+def _draw_metric(
     behaviour: Behaviour,
     count: int,
     metric: str,
@@ -450,10 +450,10 @@
     rng: np.random.Generator,
 ) -> float:
     """Find the z limit at which a good candidate is stopped at a given rate."""
-    worst = [
+    maxima = [
         max(run_canary(TRIALS[0], step, bins, rng).statistics) for _ in range(runs)
     ]
-    return float(np.quantile(worst, 1.0 - rate))
+    return float(np.quantile(maxima, 1.0 - rate))
 
 
 def describe(name: str, trial: Trial, results: Sequence[Result]) -> str:
@@ -501,22 +501,22 @@
     bins = {b: Bins(b, rng) for b in sorted(behaviours, key=repr)}
     echo(HEADER)
     rows: list[dict[str, object]] = []
-    means: dict[str, float] = {}
+    mean_exposed: dict[str, float] = {}
     false_stops = 0.0
     for setting in SETTINGS[: 1 if short else settings]:
         for trial in TRIALS:
-            first = setting is SETTINGS[0] and trial is TRIALS[0]
+            is_first = setting is SETTINGS[0] and trial is TRIALS[0]
             results = [
                 result
-                for number in range(good_seeds if first else seeds)
+                for number in range(good_seeds if is_first else seeds)
                 for result in RolloutRun(trial, setting, bins, seed + number).run()
             ]
             echo(describe(setting.name, trial, results))
-            if first:
+            if is_first:
                 stops = [r.state == RolloutState.STOPPED for r in results]
                 false_stops = float(np.mean(stops))
             if setting is SETTINGS[0]:
-                means[trial.name] = float(np.mean([r.exposed for r in results]))
+                mean_exposed[trial.name] = float(np.mean([r.exposed for r in results]))
             rows.append(
                 {
                     "setting": asdict(setting),
@@ -527,7 +527,7 @@
             )
     rate = max(false_stops, 1.0 / good_seeds)
     echo(f"\ncanaries at a false-stop rate of {rate:.3f} (measured {false_stops:.3f})")
-    rows += compare_canaries(bins, rate, canary_runs, means, rng)
+    rows += compare_canaries(bins, rate, canary_runs, mean_exposed, rng)
     path = Path(out)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(dumps(rows))
@@ -537,7 +537,7 @@
     bins: dict[Behaviour, Bins],
     rate: float,
     runs: int,
-    means: dict[str, float],
+    mean_exposed: dict[str, float],
     rng: np.random.Generator,
 ) -> list[dict[str, object]]:
     """Print and return exposure and misses of canaries of several step sizes."""
@@ -549,12 +549,12 @@
             if not trial.harmful:
                 continue
             found = [
-                run_canary(trial, step, bins, rng).find_exposed(limit)
+                run_canary(trial, step, bins, rng).count_exposed(limit)
                 for _ in range(runs // 4)
             ]
             missed = 1.0 - float(np.mean([stopped for stopped, _ in found]))
             exposed = float(np.mean([count for _, count in found]))
-            ratio = means[trial.name] / exposed if exposed else float("nan")
+            ratio = mean_exposed[trial.name] / exposed if exposed else float("nan")
             echo(f"{step:6}{trial.name:>16}{missed:8.3f}{exposed:9.1f}{ratio:9.2f}")
             rows.append(
                 {
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -6,15 +6,15 @@
 
 from click import command, option
 
-from benchmarks.figures import Row, write_figures
+from benchmarks.report import Row, write_report
 from bergamotwood_core.errors import EndpointError
 from bergamotwood_core.ids import RequestId
 from bergamotwood_core.stream import Chunk, StreamAssembler, Usage
 
 STREAMS = 2_000
 ATTEMPTS = 3
-SHORTEST, LONGEST = 1, 200
-FAULT_CHANCE = 0.7
+MIN_CHUNKS, MAX_CHUNKS = 1, 200
+FAULT_PROBABILITY = 0.7
 DONE = None
 
 Event = Chunk | None
@@ -33,29 +33,29 @@
     return [*events, DONE]
 
 
-def pass_all(events: list[Event], rng: Random) -> list[Event]:
+def keep_all(events: list[Event], rng: Random) -> list[Event]:
     """Change nothing."""
     return events
 
 
-def cut(events: list[Event], rng: Random) -> list[Event]:
+def truncate(events: list[Event], rng: Random) -> list[Event]:
     """Break off, or fall silent, anywhere."""
     return events[: rng.randrange(len(events))]
 
 
-def cut_marker(events: list[Event], rng: Random) -> list[Event]:
+def drop_end_marker(events: list[Event], rng: Random) -> list[Event]:
     """Cut exactly at the end marker."""
     return events[:-1]
 
 
-def shuffle(events: list[Event], rng: Random) -> list[Event]:
+def reorder(events: list[Event], rng: Random) -> list[Event]:
     """Bring chunks out of order, each by up to 20 places."""
     chunks = [event for event in events if event is not DONE]
     chunks.sort(key=lambda chunk: chunk.index + rng.uniform(0, 20))
     return [*chunks, DONE]
 
 
-def repeat(events: list[Event], rng: Random) -> list[Event]:
+def duplicate(events: list[Event], rng: Random) -> list[Event]:
     """Send some chunks again, later."""
     chunks = list(events[:-1])
     for chunk in rng.sample(events[:-1], len(events) // 3):
@@ -64,7 +64,7 @@
     return [*chunks, DONE]
 
 
-def lose(events: list[Event], rng: Random) -> list[Event]:
+def drop_chunk(events: list[Event], rng: Random) -> list[Event]:
     """Lose one chunk on the way."""
     if len(events) < 2:
         return events
@@ -72,39 +72,39 @@
     return events[:lost] + events[lost + 1 :]
 
 
-def mix(events: list[Event], rng: Random) -> list[Event]:
+def insert_foreign_chunk(events: list[Event], rng: Random) -> list[Event]:
     """Slip in a chunk of another request."""
-    place = rng.randrange(len(events))
-    other = Chunk(RequestId("other"), place, "theirs ")
-    return [*events[:place], other, *events[place:]]
+    position = rng.randrange(len(events))
+    other = Chunk(RequestId("other"), position, "theirs ")
+    return [*events[:position], other, *events[position:]]
 
 
-def overrun(events: list[Event], rng: Random) -> list[Event]:
+def send_after_end(events: list[Event], rng: Random) -> list[Event]:
     """Go on after the end marker."""
     first = next(event for event in events if event is not DONE)
     return [*events, Chunk(first.request, first.index + 500, "more ")]
 
 
-def early_marker(events: list[Event], rng: Random) -> list[Event]:
+def end_early(events: list[Event], rng: Random) -> list[Event]:
     """Send the end marker before the end."""
-    place = rng.randrange(len(events))
-    return [*events[:place], DONE]
+    position = rng.randrange(len(events))
+    return [*events[:position], DONE]
 
 
 FAULTS: dict[str, Fault] = {
-    "none": pass_all,
-    "silent or broken": cut,
-    "cut at marker": cut_marker,
-    "out of order": shuffle,
-    "repeated": repeat,
-    "lost chunk": lose,
-    "foreign chunk": mix,
-    "early marker": early_marker,
-    "after marker": overrun,
+    "none": keep_all,
+    "silent or broken": truncate,
+    "cut at marker": drop_end_marker,
+    "out of order": reorder,
+    "repeated": duplicate,
+    "lost chunk": drop_chunk,
+    "foreign chunk": insert_foreign_chunk,
+    "early marker": end_early,
+    "after marker": send_after_end,
 }
 
 
-class Caller:
+class StreamReader:
     """Reads one answer through the assembler, over several attempts."""
 
     def __init__(self, request: RequestId, count: int, rng: Random) -> None:
@@ -113,7 +113,7 @@
         self.rng = rng
         self.text = ""
         self.attempts = 0
-        self.late: list[Event] = []
+        self.late_events: list[Event] = []
         self.assembler = StreamAssembler(request)
 
     def read(self, fault: Fault) -> str:
@@ -144,12 +144,15 @@
         """List the events of the attempt and the late ones of the last."""
         current = self.assembler.attempt
         events = make_events(self.request, self.count, self.assembler.next_index)
-        faulty = self.rng.random() < FAULT_CHANCE
+        faulty = self.rng.random() < FAULT_PROBABILITY
         sent = fault(events, self.rng) if faulty else events
-        late, self.late = self.late, [e for e in events[-8:] if e is not DONE]
+        late_events, self.late_events = (
+            self.late_events,
+            [e for e in events[-8:] if e is not DONE],
+        )
         for event in sent:
-            if late and self.rng.random() < 0.3:
-                yield current - 1, spoil(late.pop())
+            if late_events and self.rng.random() < 0.3:
+                yield current - 1, replace_content(late_events.pop())
             yield current, event
 
     def _resume(self) -> None:
@@ -162,7 +165,7 @@
             self.attempts = ATTEMPTS
 
 
-def spoil(event: Event) -> Event:
+def replace_content(event: Event) -> Event:
     """Give a late chunk the words of an endpoint that answered otherwise."""
     if event is DONE:
         return event
@@ -175,10 +178,10 @@
     outcomes: Counter[str] = Counter()
     attempts = 0
     for number in range(STREAMS):
-        count = rng.randint(SHORTEST, LONGEST)
-        caller = Caller(RequestId(f"r{number}"), count, rng)
-        outcomes[caller.read(fault)] += 1
-        attempts += caller.attempts
+        count = rng.randint(MIN_CHUNKS, MAX_CHUNKS)
+        reader = StreamReader(RequestId(f"r{number}"), count, rng)
+        outcomes[reader.read(fault)] += 1
+        attempts += reader.attempts
     return {
         "fault": name,
         "streams": STREAMS,
@@ -194,7 +197,7 @@
 def main(seed: int) -> None:
     """Run every fault; seven attempts in ten are faulty."""
     print(f"seed {seed}")
-    write_figures("streams", seed, [run_fault(n, f, seed) for n, f in FAULTS.items()])
+    write_report("streams", seed, [run_fault(n, f, seed) for n, f in FAULTS.items()])
 
 
 if __name__ == "__main__":
--- a/benchmarks/ticket.py
+++ b/benchmarks/ticket.py
@@ -6,7 +6,7 @@
 
 from click import command, option
 
-from benchmarks.figures import Row, find_quantiles, write_figures
+from benchmarks.report import Row, find_percentiles, write_report
 from bergamotwood_core.control import (
     ApplyTicket,
     ControlMachine,
@@ -22,7 +22,7 @@
 MILLISECONDS = 1e3
 
 
-def make_state(workspaces: int, models: int) -> list[dict[str, Any]]:
+def make_initial_tickets(workspaces: int, models: int) -> list[dict[str, Any]]:
     """Make the tickets that build the whole first state."""
     names = [f"model-{number}" for number in range(models)]
     versions = [f"{name}:{version}" for name in names for version in (1, 2)]
@@ -44,29 +44,29 @@
     index = machine.tables.index + 1
     ticket = dumps({"number": index, **content}).encode()
     command = encode_command(ApplyTicket(ticket))
-    began = perf_counter()
+    started = perf_counter()
     answer = machine.apply(index, command)
-    taken = (perf_counter() - began) * MILLISECONDS
+    milliseconds = (perf_counter() - started) * MILLISECONDS
     decoded = decode_answer(answer)
     if decoded.outcome is not TicketOutcome.ACCEPTED:
         raise RuntimeError(f"refused: {decoded}")
-    return taken
+    return milliseconds
 
 
 def measure_size(workspaces: int, models: int) -> Row:
     """Measure tickets that each change one model."""
     machine = ControlMachine()
-    for ticket in make_state(workspaces, models):
+    for ticket in make_initial_tickets(workspaces, models):
         apply_ticket(machine, ticket)
-    taken = []
+    durations = []
     for price in range(TICKETS):
         model = {**_make_model("model-0"), "versions": _list_versions(price)}
-        taken.append(apply_ticket(machine, {"models": [model]}))
+        durations.append(apply_ticket(machine, {"models": [model]}))
     withdrawn = {"id": "model-0:2", "state": "withdrawn"}
     model = {**_make_model("model-0"), "versions": [_list_versions(1)[0], withdrawn]}
     withdrawal = apply_ticket(machine, {"models": [model]})
-    p50, p95, _ = find_quantiles(taken)
-    began = perf_counter()
+    p50, p95, _ = find_percentiles(durations)
+    started = perf_counter()
     snapshot = machine.snapshot()
     return {
         "workspaces": workspaces,
@@ -74,7 +74,7 @@
         "apply_p50_ms": p50,
         "apply_p95_ms": p95,
         "withdraw_ms": withdrawal,
-        "snapshot_ms": (perf_counter() - began) * MILLISECONDS,
+        "snapshot_ms": (perf_counter() - started) * MILLISECONDS,
         "snapshot_kb": len(snapshot) / 1e3,
     }
 
@@ -98,7 +98,7 @@
 def main(short: bool) -> None:
     """Measure tickets on one core; nothing is random."""
     sizes = SIZES[:2] if short else SIZES
-    write_figures("ticket", 0, [measure_size(*size) for size in sizes])
+    write_report("ticket", 0, [measure_size(*size) for size in sizes])
 
 
 if __name__ == "__main__":
--- a/benchmarks/workload.py
+++ b/benchmarks/traffic.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
     Parameters
@@ -35,43 +35,43 @@
 
 
 KINDS = (
-    Kind("chapter", 0.20, 5_000, 6_000, 400, 40, 10.0, "kubwa", Priority.LOW),
-    Kind("letter", 0.35, 400, 900, 150, 4, 5.0, "kubwa"),
-    Kind("note", 0.25, 300, 450, 60, 6, 2.5, "colofn", Priority.HIGH),
-    Kind("session", 0.20, 1_800, 2_000, 150, 60, 4.0, "colofn"),
+    RequestKind("chapter", 0.20, 5_000, 6_000, 400, 40, 10.0, "kubwa", Priority.LOW),
+    RequestKind("letter", 0.35, 400, 900, 150, 4, 5.0, "kubwa"),
+    RequestKind("note", 0.25, 300, 450, 60, 6, 2.5, "colofn", Priority.HIGH),
+    RequestKind("session", 0.20, 1_800, 2_000, 150, 60, 4.0, "colofn"),
 )
 
 
 @dataclass(eq=False)
-class Offer:
+class OfferedRequest:
     """A request as a caller makes it, and what became of it."""
 
     number: int
-    at: float
-    kind: Kind
+    arrived_at: float
+    kind: RequestKind
     prefix: int
     prompt_tokens: int
     output_tokens: int
     workspace: str
-    first_at: float | None = None
-    done_at: float | None = None
+    first_token_at: float | None = None
+    finished_at: float | None = None
     refused: bool = False
     failed: bool = False
     attempts: int = 0
-    cached: int = 0
-    tries: int = 1
+    cached_tokens: int = 0
+    sends: int = 1
 
     @property
-    def good(self) -> bool:
+    def met_deadline(self) -> bool:
         """Whether it was answered whole and began in time."""
-        if self.done_at is None or self.first_at is None:
+        if self.finished_at is None or self.first_token_at is None:
             return False
-        return self.first_at - self.at <= self.kind.first_seconds
+        return self.first_token_at - self.arrived_at <= self.kind.first_seconds
 
 
-def make_offers(
-    rate: float, seconds: float, rng: Random, kinds: tuple[Kind, ...] = KINDS
-) -> Iterator[Offer]:
+def make_requests(
+    rate: float, seconds: float, rng: Random, kinds: tuple[RequestKind, ...] = KINDS
+) -> Iterator[OfferedRequest]:
     """Make Poisson arrivals of mixed kinds.
 
     Parameters
@@ -82,7 +82,7 @@
         For how long.
     rng : Random
         Source of times and sizes.
-    kinds : tuple of Kind
+    kinds : tuple of RequestKind
         The mix.
     """
     time = rng.expovariate(rate)
@@ -90,14 +90,17 @@
     shares = [kind.share for kind in kinds]
     while time < seconds:
         kind = rng.choices(kinds, shares)[0]
-        popular = min(int(rng.expovariate(3.0 / kind.prefixes)), kind.prefixes - 1)
-        extra = kind.prompt_tokens - kind.prefix_tokens
-        yield Offer(
+        prefix_number = min(
+            int(rng.expovariate(3.0 / kind.prefixes)), kind.prefixes - 1
+        )
+        own_tokens = kind.prompt_tokens - kind.prefix_tokens
+        yield OfferedRequest(
             number,
             time,
             kind,
-            prefix=hash_prefix(kind, popular),
-            prompt_tokens=kind.prefix_tokens + max(8, int(rng.expovariate(1 / extra))),
+            prefix=hash_prefix(kind, prefix_number),
+            prompt_tokens=kind.prefix_tokens
+            + max(8, int(rng.expovariate(1 / own_tokens))),
             output_tokens=max(4, int(rng.gammavariate(2.0, kind.output_tokens / 2))),
             workspace=kind.workspace,
         )
@@ -105,7 +108,7 @@
         time += rng.expovariate(rate)
 
 
-def hash_prefix(kind: Kind, number: int) -> int:
+def hash_prefix(kind: RequestKind, number: int) -> int:
     """Hash a prefix, alike in every run."""
     seed = Random(f"{kind.name}/{number}")
     return seed.getrandbits(64)
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RatingTerms:
+class RatingSettings:
     """Limit, delay and noise of the rating service.
 
     Parameters
@@ -47,13 +47,13 @@
     precision: float
 
 
-RATING_TERMS = {
-    Ratings.ENOUGH: RatingTerms(2.0, 5.0, 8.0),
-    Ratings.ONE: RatingTerms(1.0, 5.0, 8.0),
-    Ratings.LIMITED: RatingTerms(0.2, 5.0, 8.0),
-    Ratings.SCARCE: RatingTerms(0.05, 5.0, 8.0),
-    Ratings.DELAYED: RatingTerms(2.0, 120.0, 8.0),
-    Ratings.NOISY: RatingTerms(2.0, 5.0, 3.0),
+RATING_SETTINGS = {
+    Ratings.ENOUGH: RatingSettings(2.0, 5.0, 8.0),
+    Ratings.ONE: RatingSettings(1.0, 5.0, 8.0),
+    Ratings.LIMITED: RatingSettings(0.2, 5.0, 8.0),
+    Ratings.SCARCE: RatingSettings(0.05, 5.0, 8.0),
+    Ratings.DELAYED: RatingSettings(2.0, 120.0, 8.0),
+    Ratings.NOISY: RatingSettings(2.0, 5.0, 3.0),
 }
 
 
@@ -76,7 +76,7 @@
     share: float
     prompt_tokens: int
     output_tokens: int
-    chances: tuple[float, ...]
+    probabilities: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,36 +170,38 @@
 # Share of a request's difficulty that all versions feel alike.
 SHARED_DIFFICULTY = 0.3
 # Standard deviation of the logit's slow swing, and swings over a run.
-DRIFT_SIZE = 0.8
-DRIFT_SWINGS = 2.0
+DRIFT_LOGIT_AMPLITUDE = 0.8
+DRIFT_CYCLES = 2.0
 # Part of a run in which one version is bad, and what is left of its chances.
-BAD_FROM = 0.4
-BAD_UNTIL = 0.7
+BAD_START = 0.4
+BAD_END = 0.7
 BAD_FACTOR = 0.4
 
 
-def move_chances(
+def draw_probabilities(
     workload: Workload, drift: Drift, count: int, rng: np.random.Generator
 ) -> Floats:
     """Make each version's chances over a run, by request, class and version."""
-    base = np.array([traits.chances for traits in workload.classes])
-    chances = np.broadcast_to(base, (count, *base.shape)).copy()
+    base = np.array([traits.probabilities for traits in workload.classes])
+    probabilities = np.broadcast_to(base, (count, *base.shape)).copy()
     times = np.arange(count) / count
     match drift:
         case Drift.DRIFT:
             phases = rng.uniform(0.0, 2.0 * np.pi, base.shape)
-            angles = 2.0 * np.pi * DRIFT_SWINGS * times[:, None, None] + phases
-            logits = np.log(chances / (1.0 - chances)) + DRIFT_SIZE * np.sin(angles)
-            chances = 1.0 / (1.0 + np.exp(-logits))
+            angles = 2.0 * np.pi * DRIFT_CYCLES * times[:, None, None] + phases
+            logits = np.log(
+                probabilities / (1.0 - probabilities)
+            ) + DRIFT_LOGIT_AMPLITUDE * np.sin(angles)
+            probabilities = 1.0 / (1.0 + np.exp(-logits))
         case Drift.TURN_BAD:
-            bad = (times >= BAD_FROM) & (times < BAD_UNTIL)
+            bad = (times >= BAD_START) & (times < BAD_END)
             version = rng.integers(0, base.shape[1] - 1)
-            chances[bad, :, version] *= BAD_FACTOR
+            probabilities[bad, :, version] *= BAD_FACTOR
         case Drift.STEADY:
             pass
-    return chances
+    return probabilities
 
 
-def scale(workload: Workload, **changes: float) -> Workload:
+def change_workload(workload: Workload, **changes: float) -> Workload:
     """Copy a workload with some traits changed."""
     return replace(workload, **changes)
