--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benches of the decisions; `python -m benchmarks` runs each in a short form."""
+"""Benchmarks of the router's parts; `python -m benchmarks` runs each in short form."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run benches by name, or every one in a short form."""
+"""Run one benchmark by name, or a short form of every one."""
 
 from importlib import import_module
 from pkgutil import iter_modules
@@ -10,7 +10,7 @@
 
 
 def find_benches() -> dict[str, Command]:
-    """Find the bench modules: those with a click command named `main`."""
+    """Find the benchmark modules, which have a click command named `main`."""
     benches: dict[str, Command] = {}
     for module in iter_modules(benchmarks.__path__):
         if module.name.startswith("_"):
--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -1,4 +1,4 @@
-"""Answers of stand-in engines and scores of a stand-in rating service."""
+"""Simulated answers of the versions and scores of the rating service."""
 
 from dataclasses import dataclass
 
@@ -18,13 +18,13 @@
     draw_probabilities,
 )
 
-# Spread of the logarithm of token counts and of times.
+# Standard deviation of the logarithm of token counts and of times.
 LOGNORMAL_SIGMA = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class Answers:
-    """What every version would answer to every request of a run.
+    """Simulated answer of every version to every request of a run.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
     costs : ndarray
         Cost units by request and version.
     probabilities : ndarray
-        True chance of a good answer by request, class and version.
+        True probability of a good answer by request, class and version.
     """
 
     classes: np.ndarray
@@ -72,7 +72,7 @@
 def draw_scores(
     qualities: Floats, rating_settings: RatingSettings, rng: np.random.Generator
 ) -> Floats:
-    """Draw a score for each answer, with the true quality as its mean."""
+    """Draw a score for each answer; its mean is the true quality."""
     bounded = np.clip(qualities, 1e-3, 1.0 - 1e-3)
     return rng.beta(
         bounded * rating_settings.precision, (1.0 - bounded) * rating_settings.precision
@@ -86,7 +86,7 @@
     count: int,
     seed: int,
 ) -> Answers:
-    """Draw a whole run."""
+    """Draw the answers, scores, times and costs of a whole run."""
     rng = np.random.default_rng(seed)
     shares = [traits.share for traits in workload.classes]
     classes = rng.choice(len(shares), size=count, p=shares)
--- a/benchmarks/batching.py
+++ b/benchmarks/batching.py
@@ -1,8 +1,9 @@
-"""A step-by-step fake of a model engine: batches, prompt chunks, shared memory.
+"""Fake model engine with continuous batching, chunked prefill and a prefix cache.
 
-Follows the users' sheets: a step makes a token for each running request and takes
-longer with each; prompts are read in chunks between steps; running requests and
-cached parts share one memory, from which the least recently used parts yield.
+Follows the users' data sheets. Each step generates one token for each running
+request and takes longer the more of them there are. Prompts are prefilled in chunks
+between steps. Running requests and cached prompt parts use the same memory; the
+least recently used cached parts are evicted when it is full.
 """
 
 from collections import OrderedDict, deque
@@ -21,21 +22,21 @@
     Parameters
     ----------
     slots : int
-        Requests that run at once.
+        Maximum number of requests that run at once.
     step_seconds, request_step_seconds : float
-        Time of a step, alone and for each running request.
+        Fixed time of a step, and time added for each request that is decoding.
     prefill_rate : float
-        Prompt tokens read in a second.
+        Prompt tokens prefilled per second, before `prefill_slowdowns`.
     chunk_tokens : int
-        Prompt tokens read between two steps at most.
+        Maximum number of prompt tokens prefilled in one step.
     memory_tokens : int
-        Tokens of running requests and cached parts.
+        Capacity for the tokens of running requests and cached prompt parts.
     event_tokens : int
-        Tokens of one event.
+        Tokens sent in one stream event.
     prefill_slowdowns : dict
-        Times by which each model reads more slowly. Measured on the users' bench
-        (kubwa-hq quiet-1): a token takes 4 to 5 ms with every model when nothing
-        is read beside it, and 8 ms more for each prompt that is.
+        Factor on the prefill time of each model. On the users' test bench (kubwa-hq
+        quiet-1), a token takes 4 to 5 ms with every model while no prompt is being
+        prefilled, and 8 ms more for each prompt that is.
     """
 
     slots: int
@@ -50,7 +51,7 @@
 
 @dataclass(eq=False)
 class Generation:
-    """One request at one engine."""
+    """One request on one engine."""
 
     model: ModelName
     prompt: tuple[PromptPart, ...]
@@ -65,7 +66,7 @@
 
 @dataclass
 class PrefillCounters:
-    """What an engine has done."""
+    """Prompt tokens that engines prefilled, and those of them from shared parts."""
 
     prefill_tokens: int = 0
     shared_prefill_tokens: int = 0
@@ -73,7 +74,7 @@
 
 @dataclass(eq=False)
 class BatchingEngine:
-    """Runs requests step by step."""
+    """Runs requests in batched steps of simulated time."""
 
     simulation: Simulation
     settings: BatchingSettings
@@ -84,12 +85,12 @@
     is_busy: bool = False
 
     def submit(self, generation: Generation) -> None:
-        """Take a request."""
+        """Queue a request."""
         self.queue.append(generation)
         self._start_step()
 
     def cancel(self, generation: Generation) -> None:
-        """Drop a request."""
+        """Remove a queued or running request."""
         if generation.is_finished:
             return
         generation.is_finished = True
@@ -104,7 +105,7 @@
             self.simulation.schedule(self._prepare_step(), self._finish_step)
 
     def _prepare_step(self) -> float:
-        """Admit what fits, choose what to read, and return the step's time."""
+        """Admit queued requests, prefill one chunk, and return the step's seconds."""
         self._admit()
         settings = self.settings
         decoding = sum(not generation.prefill_left for generation in self.running)
--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -1,4 +1,4 @@
-"""Callers of streams, and the gateway's decisions at many entries."""
+"""Simulated callers of streams, and the gateway's decisions at many entries."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -34,22 +34,22 @@
 )
 from bergamotwood_core.states import EndpointState
 
-# Part of the requests that each model answers well, from the users' sheets.
+# Share of the requests that each model answers well, from the users' data sheets.
 QUALITY = {SMALL: 0.54, MIDDLE: 0.64, LARGE: 1.0}
-# How far confidence spreads around its mean of 0.25 or 0.75.
+# Standard deviation of the confidence around its mean of 0.25 or 0.75.
 CONFIDENCE_SPREAD = 0.12
-# Age of reported loads: half of an entry's time between two questions, and a way.
+# Age of reported loads: half of an entry's polling interval plus one network trip.
 REPORT_SECONDS = 0.4
 DATA_CENTRES = tuple(DataCentre(f"dc{index}") for index in range(4))
 SERVICE = ServiceName("pool")
-# Time of one send between an entry and an engine, and back.
+# Network time from an entry to an engine and back.
 ROUND_TRIP_SECONDS = 0.002
 WARMUP_SECONDS = 5.0
 
 
 @dataclass
 class Result:
-    """What callers got."""
+    """Value, outcomes and times to the first event of the measured requests."""
 
     total_value: float = 0.0
     earned_value: float = 0.0
@@ -63,7 +63,7 @@
 
 
 class Entry:
-    """The gateway's decisions at one entry."""
+    """The gateway's decisions and state at one entry."""
 
     def __init__(self, number: int, rng: Random) -> None:
         self.loads = LoadTable()
@@ -75,24 +75,25 @@
 
 
 class SiteRun:
-    """One run of a site.
+    """Simulates one run of a site.
 
     Parameters
     ----------
     site : Site
-        Its sizes.
+        Number of entries and engines, and kinds of requests.
     seed : int
-        Seed of everything random.
+        Seed of all random draws.
     choose : callable
-        Chooses the endpoint of a call.
+        Policy that chooses the endpoint of a call.
     models : tuple of ModelName
         Models that may be used.
     load : float
-        Requests, as a part of the site's.
+        Factor on the site's request rates.
     replaced_at, replaced_share : float
-        When a part of the engines is replaced by empty ones.
+        Second at which engines are replaced by ones with empty caches, and their
+        share.
     restarted_at : float
-        When all entries lose what they know; 0 for never.
+        Second at which all entries restart and lose their state; 0 for never.
     """
 
     def __init__(
@@ -128,7 +129,7 @@
             self.simulation.schedule(restarted_at, self.restart_entries)
 
     def run(self, seconds: float) -> None:
-        """Play callers for a time, and end what they began."""
+        """Generate traffic for a time, then let the open requests finish."""
         for kind in self.site.kinds:
             self._schedule_arrival(kind, seconds)
         self.simulation.schedule_every(
@@ -137,7 +138,7 @@
         self.simulation.run(seconds + 30.0)
 
     def restart_entries(self) -> None:
-        """Lose every entry at once; engines go on with what they have."""
+        """Restart every entry at once; engines continue their running requests."""
         for request in list(self.open_requests):
             request.abort()
         self.entries = self._make_entries()
@@ -168,7 +169,7 @@
         )
 
     def _replace_engines(self) -> None:
-        """Replace engines one after the other; running requests end at the old."""
+        """Replace the oldest engines; running requests finish on the replaced ones."""
         for _ in range(int(self.replaced_share * self.site.engines)):
             self.heartbeats.pop(0)
             self._add_engine()
@@ -185,7 +186,7 @@
         self.simulation.schedule(delay, arrive)
 
     def _exchange_loads(self) -> None:
-        """Tell each entry what the others had a moment ago."""
+        """Send each entry the sum of the other entries' loads."""
         reports = [entry.loads.list_own() for entry in self.entries]
         total = LoadSum()
         for report in reports:
@@ -195,7 +196,7 @@
 
 
 class Request:
-    """One caller's request through the models."""
+    """One caller's request, which may escalate to larger models."""
 
     def __init__(self, site_run: SiteRun, kind: RequestKind) -> None:
         rng = site_run.rng
@@ -245,11 +246,11 @@
 
     @property
     def is_measured(self) -> bool:
-        """Whether it came after the caches had filled."""
+        """Whether the request arrived after the warm-up that fills the caches."""
         return self.started_at >= WARMUP_SECONDS
 
     def send(self) -> None:
-        """Send it to an engine."""
+        """Choose an endpoint and send the request to its engine."""
         self.site_run.open_requests.add(self)
         site_run, entry, call = self.site_run, self.entry, self.call
         now = site_run.simulation.now
@@ -345,7 +346,7 @@
         self._record_outcome("failed", is_good=False)
 
     def abort(self) -> None:
-        """Fail with the entry; the engine is not told."""
+        """Fail because the entry restarted; the engine is not told."""
         self.generation = None
         self._record_outcome("failed", is_good=False)
 
@@ -363,13 +364,13 @@
 
 
 def draw_length(rng: Random, mean: float, spread: float, max_ratio: float) -> float:
-    """Draw a lognormal length with a mean, cut at a multiple of it."""
+    """Draw a lognormal length with a given mean, capped at a multiple of the mean."""
     value = rng.lognormvariate(-spread * spread / 2, spread) * mean
     return min(value, max_ratio * mean)
 
 
 def make_route(kind: RequestKind) -> ServiceRoute:
-    """Make the route of a kind of request."""
+    """Make the gateway's route for a kind of request."""
     return ServiceRoute(
         name=kind.name,
         host="h",
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""Cost of the control plane for each role, at three sizes and at the target.
+"""Cost of the control plane for each role, at three fleet sizes up to the target.
 
-Membership exchange is measured in one process: a replica's feed and an entry's
-watch, joined without a network. The cost of the call itself is measured apart,
-over gRPC on loopback, both ends in this process.
+Membership exchange is measured in one process, where an entry's watch calls a
+replica's feed directly. The cost of the call itself is measured separately, over
+gRPC on loopback with both ends in this process.
 """
 
 from dataclasses import dataclass
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Size:
-    """A fleet: daemons and the endpoints behind them."""
+    """Size of a fleet: entries, and the endpoints that they route to."""
 
     entries: int
     endpoints: int
@@ -51,7 +51,7 @@
 
 
 class InProcessReplica:
-    """A control replica's feed, reached without a network."""
+    """A control replica's feed that the watch calls without a network."""
 
     def __init__(self, size: Size) -> None:
         self.feed = DirectoryFeed("boot")
@@ -63,7 +63,7 @@
         self.reply_bytes = 0
 
     def advance(self) -> None:
-        """Let every endpoint and entry say one word more."""
+        """Record a new status message of every endpoint and entry."""
         self.sequence += 1
         self.now = Seconds(self.now + HOLD_SECONDS)
         for number in range(self.size.endpoints):
@@ -74,7 +74,7 @@
             self.feed.record_report(make_report(number, self.sequence), self.now)
 
     def call(self, method: Method, body: bytes, timeout_seconds: float) -> bytes:
-        """Answer a poll, and count its bytes and processor time."""
+        """Answer a poll and add up its bytes and CPU time."""
         started = process_time()
         request = POLL_REQUEST.decode(body)
         update = self.feed.list_changes(request.boot, request.cursor)
@@ -98,7 +98,7 @@
 
 
 class EchoHandler:
-    """Answers calls with what they carry."""
+    """Answers each call with its own request body."""
 
     def handle_poll(self, body: bytes) -> bytes:
         """Return the body."""
@@ -108,7 +108,7 @@
 
 
 def make_announcement(number: int, sequence: int) -> Announcement:
-    """Make an endpoint's announcement, with a load that changes."""
+    """Make an endpoint's announcement, whose load changes with each sequence."""
     return Announcement(
         f"endpoint-{number}",
         1_796_333_475_512_430,
@@ -123,7 +123,7 @@
 
 
 def make_report(number: int, sequence: int) -> EntryReport:
-    """Make an entry's report."""
+    """Make an entry's status report."""
     address = Address("10.0.0.2", 8_000)
     centre = f"centre-{number % DATA_CENTRES}"
     id = InstanceId(f"entry-{number}")
@@ -133,7 +133,7 @@
 
 
 def make_watch(replica: InProcessReplica) -> Watch:
-    """Make an entry that follows the replica."""
+    """Make the watch of an entry that polls the replica."""
     machine = ControlMachine()
     return Watch(
         machine,
@@ -148,7 +148,7 @@
 
 
 def measure_membership(size: Size) -> list[Row]:
-    """Measure one entry's polls while every endpoint speaks between two."""
+    """Measure one entry's polls when every status changes between two polls."""
     replica = InProcessReplica(size)
     watch = make_watch(replica)
     replica.advance()
@@ -188,7 +188,7 @@
 
 
 def measure_call() -> Row:
-    """Measure the processor time of one gRPC call, both ends together."""
+    """Measure the CPU time of one gRPC call, client and server together."""
     server = PeerServer(EchoHandler(), "key")
     address = Address("127.0.0.1", 0)
     port = server.start(address)
@@ -204,7 +204,7 @@
 
 
 def measure_tickets() -> list[Row]:
-    """Measure the bytes and time of a configuration change at an entry."""
+    """Measure the size of a configuration change and an entry's time to apply it."""
     machine = ControlMachine()
     commands = [
         encode_command(ApplyTicket(_make_ticket(number))) for number in range(1, 201)
@@ -239,7 +239,7 @@
 
 
 def measure(sizes: tuple[Size, ...]) -> list[Row]:
-    """Measure everything."""
+    """Measure membership exchange at each size, one call, and tickets."""
     rows = [row for size in sizes for row in measure_membership(size)]
     return [*rows, measure_call(), *measure_tickets()]
 
--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -1,4 +1,4 @@
-"""Cost and quality of the cascade policy against fixed cascades and a bound."""
+"""Cost and quality of the cascade policy against fixed cascades and a lower bound."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import asdict, dataclass
@@ -35,9 +35,9 @@
 WINDOW = 500
 RATING_SECONDS = 0.5
 RATING_BURST = 20.0
-# Blocks of a drifting run in which the bound takes the chances as constant.
+# Blocks of a drifting run; the bound treats the probabilities of each as constant.
 BLOCKS = 32
-# Seconds between two exchanges of evidence between entries.
+# Interval at which entries exchange evidence.
 EXCHANGE_SECONDS = 5.0
 FIXED_THRESHOLDS = (0.5, 0.6, 0.7, 0.8)
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What one policy gave in one run.
+    """Summary of one policy in one run.
 
     Parameters
     ----------
@@ -87,7 +87,7 @@
 
 
 def summarize(result: PolicyResult, target: float) -> Summary:
-    """Reduce a track to means and missed windows."""
+    """Reduce the result of a policy to means and missed windows."""
     count = len(result.costs)
     missed = 0
     starts = range(WINDOW, count - WINDOW + 1, WINDOW)
@@ -113,14 +113,14 @@
 
 
 class PolicyRun:
-    """Drives the policy of several entries through one run.
+    """Runs the cascade policies of several entries on one run's answers.
 
     Parameters
     ----------
     workload : Workload
         Classes, versions and target.
     answers : Answers
-        What the engines and the rating service would say.
+        Simulated answers of the engines and scores of the rating service.
     rating_settings : RatingSettings
         Limit and delay of ratings.
     entries : int
@@ -174,7 +174,7 @@
         self.ratings = 0
 
     def run(self) -> PolicyResult:
-        """Answer every request in turn."""
+        """Answer every request in the order of arrival."""
         count = len(self.answers.times)
         costs = np.zeros(count)
         qualities = np.zeros(count)
@@ -299,7 +299,10 @@
     rating_settings: RatingSettings,
     steps: Sequence[tuple[int, float]],
 ) -> PolicyResult:
-    """Answer every request with one cascade; without a rating it escalates."""
+    """Answer every request with one fixed cascade.
+
+    A step is skipped when the rating budget is used up.
+    """
     per_second = rating_settings.per_request * workload.requests_per_second
     rating_budget = RatingBudget(per_second, RATING_BURST)
     count = len(answers.times)
@@ -330,7 +333,7 @@
 
 
 def list_fixed_cascades(count: int) -> Iterable[tuple[tuple[int, float], ...]]:
-    """List single versions and short cascades with one threshold."""
+    """List single versions, and cascades of two or three with one common threshold."""
     for version in range(count):
         yield ((version, 0.0),)
     for length in (2, 3):
@@ -346,7 +349,7 @@
     drift: Drift,
     seed: int,
 ) -> PolicyResult:
-    """Answer every request with the mix of the true chances of its moment."""
+    """Answer every request with the optimal mix for its true probabilities."""
     count = len(answers.times)
     costs = np.zeros(count)
     qualities = np.zeros(count)
@@ -425,7 +428,7 @@
     seed: int,
     fixed: bool = True,
 ) -> Case:
-    """Run every policy on the same answers."""
+    """Run every policy on the same simulated answers."""
     rating_settings = RATING_SETTINGS[ratings]
     answers = draw_answers(workload, drift, rating_settings, count, seed)
     target = workload.target
@@ -458,7 +461,7 @@
 
 
 def describe(cases: Sequence[Case]) -> str:
-    """Describe the cases of one setting in a line of the table."""
+    """Format the cases of one setting as a line of the table."""
     first = cases[0]
     cost = _mean(case.policy.cost for case in cases)
     bound = _mean(case.clairvoyant.cost for case in cases)
--- a/benchmarks/clairvoyant.py
+++ b/benchmarks/clairvoyant.py
@@ -1,4 +1,4 @@
-"""Bound of a cascade policy that knows the true chances at each moment."""
+"""Lower bound on cost: a cascade policy that knows the true probabilities."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 from benchmarks.workloads import Floats, RatingSettings, Workload
 from bergamotwood_core.frontier import MAX_SHORTFALL, THRESHOLDS
 
-# Draws of answers that the expectations are means of.
+# Simulated answers over which the expectations are averaged.
 DRAWS = 4_000
 
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CascadeMix:
-    """Options of each class with the share that takes each."""
+    """Options of each class, and the share of its requests that takes each option."""
 
     options: tuple[tuple[CascadeOption, ...], ...]
     shares: tuple[Floats, ...]
@@ -50,25 +50,25 @@
     rating_seconds: float,
     seed: int,
 ) -> CascadeMix:
-    """Find the cheapest mix of cascades that holds the target on average.
+    """Find the cheapest mix of cascades that meets the quality target on average.
 
     Parameters
     ----------
     workload : Workload
         Classes, versions and target.
     probabilities : ndarray
-        True chances by class and version.
+        True probabilities of a good answer by class and version.
     rating_settings : RatingSettings
-        Limit and noise of ratings.
+        Limit and noise of the ratings.
     rating_seconds : float
         Time that one rating takes.
     seed : int
-        Seed of the draws.
+        Seed of the random draws.
 
     Returns
     -------
     CascadeMix
-        Solution of a linear programme over every option of every class.
+        Solution of a linear programme over all options of all classes.
     """
     rng = np.random.default_rng(seed)
     options = [
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -1,4 +1,4 @@
-"""Processor time of one request's decisions and of one token's way."""
+"""Time of the decisions for one request, and of processing one streamed token."""
 
 from collections.abc import Callable
 from gc import collect
@@ -49,7 +49,7 @@
 
 
 def make_tables(size: int, spread: bool, rng: Random) -> Tables:
-    """Make a fleet of endpoints, spread over versions and places or all alike."""
+    """Make tables of endpoints, spread over versions and data centres or all alike."""
     tables = Tables()
     configuration = tables.configuration
     configuration.workspaces[WORKSPACE.key] = WORKSPACE
@@ -72,7 +72,7 @@
 
 
 class RequestDecisions:
-    """All decisions of one request, over the same tables."""
+    """Makes the decisions of one request, always on the same tables."""
 
     def __init__(self, size: int, spread: bool, seed: int) -> None:
         self.rng = Random(seed)
@@ -85,7 +85,7 @@
         self.number = 0
 
     def place(self, **fields: int | SessionId) -> EndpointId:
-        """Choose an endpoint."""
+        """Choose an endpoint by load, or by the requirements given as fields."""
         requirements = PlacementRequirements(self.target, DataCentre("dc0"), **fields)
         chosen = choose_endpoint(self.tables.directory, requirements, NOW, self.rng)
         if chosen is None:
@@ -93,16 +93,16 @@
         return chosen
 
     def place_prefix(self) -> EndpointId:
-        """Choose an endpoint by the prompt's prefix."""
+        """Choose an endpoint for a random prompt prefix."""
         return self.place(prefix_hash=self.rng.getrandbits(64))
 
     def place_after_change(self) -> EndpointId:
-        """Choose an endpoint after a change of membership."""
+        """Choose an endpoint after the set of members has changed."""
         self.tables.directory.membership_version += 1
         return self.place_prefix()
 
     def check(self) -> None:
-        """Check a dispatch."""
+        """Check a dispatch to the first endpoint."""
         self.check_endpoint(EndpointId("endpoint-00000"))
 
     def check_endpoint(self, endpoint: EndpointId) -> None:
@@ -118,7 +118,7 @@
         )
 
     def fingerprint(self) -> None:
-        """Fingerprint a body of 24 kB."""
+        """Compute the fingerprint of a body of 24 kB."""
         fingerprint_request(WORKSPACE.key, "/v1/chat/completions", self.body)
 
     def admit(self) -> None:
@@ -129,11 +129,11 @@
         self.admission.release(request, NOW)
 
     def decode_session(self) -> None:
-        """Read a session id."""
+        """Verify and decode a session id."""
         read_session(self.session, SECRET)
 
     def decide(self) -> None:
-        """Make every decision of one request, from session to end."""
+        """Make every decision of one request, from its session to its release."""
         self.decode_session()
         self.fingerprint()
         self.number += 1
@@ -149,7 +149,7 @@
 
 
 def measure(call: Callable[[], object], calls: int) -> tuple[float, float, float]:
-    """Measure calls: mean, median and 99th percentile in microseconds."""
+    """Measure the mean, median and 99th percentile of a call in microseconds."""
     for _ in range(20):
         call()
     collect()
@@ -163,7 +163,7 @@
 
 
 def measure_decisions(size: int, spread: bool, seed: int) -> list[Row]:
-    """Measure each decision at one size of the fleet."""
+    """Measure each decision at one fleet size."""
     decisions = RequestDecisions(size, spread, seed)
     operations: dict[str, Callable[[], object]] = {
         "place by load": decisions.place,
@@ -186,7 +186,7 @@
 
 
 class TokenPath:
-    """One token's way: parse the endpoint's event, assemble, encode again."""
+    """Processes tokens: decodes an endpoint's event, assembles and encodes it."""
 
     def __init__(self) -> None:
         self.request = RequestId("i1-42")
@@ -195,12 +195,12 @@
         self.index = 0
 
     def process_token(self) -> None:
-        """Pass one token on."""
+        """Process the event of one token."""
         for chunk in self.assembler.accept(_decode_chunk(self.make_event())):
             self.encoder.encode(chunk)
 
     def make_event(self) -> bytes:
-        """Make an endpoint's event; its cost is measured apart."""
+        """Make an endpoint's event, at a cost that is measured separately."""
         event = (
             b'{"id":"i1-42","object":"chat.completion.chunk","created":1,"index":%d,'
             b'"model":"m0:1","choices":[{"index":0,"delta":{"content":" word"},'
@@ -211,7 +211,7 @@
 
 
 def measure_token() -> Row:
-    """Measure the way of a token in microseconds."""
+    """Measure the time to process one token in microseconds."""
     path = TokenPath()
     mean, p50, p99 = measure(path.process_token, TOKENS)
     make_mean, make_p50, _ = measure(TokenPath().make_event, TOKENS)
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -1,4 +1,4 @@
-"""Sizes of the users' deployments with streams, from their sheets."""
+"""Sizes and traffic of the users' streaming deployments, from their data sheets."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,10 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """One kind of request; lengths are lognormal with a mean and a spread."""
+    """One kind of request; lengths are lognormal with a given mean.
+
+    Times are in seconds, `rate` is in requests per second.
+    """
 
     name: str
     rate: float
@@ -27,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """Sizes of a deployment."""
+    """Sizes and traffic of a deployment."""
 
     entries: int
     engines: int
@@ -43,7 +46,11 @@
     event_tokens: int,
     kinds: tuple[RequestKind, ...],
 ) -> Site:
-    """Make a site; a step's base and slot times are in ms, reading in tokens a ms."""
+    """Make a site.
+
+    `step` holds the fixed time of an engine's step in ms, the time added for each
+    decoding request in ms, and the prefill rate in tokens per ms.
+    """
     base, slot, rate = step
     settings = BatchingSettings(
         slots=64,
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -1,4 +1,4 @@
-"""Directory: time and bytes of an announcement, choice of addresses."""
+"""Directory: size of an announcement, time to merge it and to choose addresses."""
 
 from collections.abc import Callable
 from random import Random
@@ -20,7 +20,7 @@
 from bergamotwood_core.states import EndpointKind
 from bergamotwood_core.tables import DirectoryTables
 
-# Endpoints and entries of today, in between, and at the target.
+# Numbers of endpoints and entries: today, at the target, and one size between.
 SIZES = ((15, 8), (200, 60), (1_600, 330))
 PREFIXES = (0, 64)
 ROUNDS = 20
@@ -28,7 +28,7 @@
 
 
 def make_announcement(number: int, prefixes: int, rng: Random) -> Announcement:
-    """Make the first announcement of an endpoint."""
+    """Make an endpoint's first announcement."""
     return Announcement(
         id=f"engine-{number}",
         incarnation=1_764_750_000_000_000,
@@ -44,7 +44,7 @@
 
 
 def make_report(number: int, rng: Random) -> EntryReport:
-    """Make an entry's report."""
+    """Make an entry's status report."""
     return EntryReport(
         f"entry-{number}",
         1,
@@ -57,7 +57,7 @@
 
 
 def measure(function: Callable[[], object], times: int) -> float:
-    """Measure microseconds of one call."""
+    """Measure the mean time of one call in microseconds."""
     started = perf_counter()
     for _ in range(times):
         function()
@@ -65,7 +65,7 @@
 
 
 def measure_size(seed: int, endpoints: int, entries: int, prefixes: int) -> Row:
-    """Measure one size of fleet."""
+    """Measure the directory at one fleet size."""
     rng = Random(seed)
     tables = DirectoryTables()
     announcements = [
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -1,4 +1,4 @@
-"""A queueing fake of a model engine: slots, prefill, decode, prefix cache."""
+"""Fake model engine with a queue, batch slots, prefill, decoding and a prefix cache."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class EngineHealth(Enum):
-    """How the fake behaves."""
+    """Condition of a fake engine."""
 
     GOOD = "good"
     SLOW = "slow"
@@ -28,15 +28,15 @@
     Parameters
     ----------
     capacity : int
-        Sequences in a batch.
+        Maximum number of sequences in a batch.
     prefill_rate : float
-        Prompt tokens a second, one prompt after the other.
+        Prompt tokens prefilled per second, one prompt after the other.
     step_seconds, step_growth : float
-        Time of a decoding step, alone and for each further sequence.
+        Fixed time of a decoding step, and time added for each running sequence.
     cache_tokens : int
         Prompt tokens that the prefix cache holds.
     prefill_stall : float
-        Part of a prefill by which the sequences in decoding are held up.
+        Share of each prefill's time by which the decoding sequences are delayed.
     """
 
     capacity: int = 16
@@ -49,7 +49,7 @@
 
 @dataclass(eq=False)
 class Job:
-    """One attempt on an engine, with what to call when it goes on."""
+    """One attempt on an engine, with callbacks for its progress."""
 
     prefix: int
     prefix_tokens: int
@@ -67,7 +67,7 @@
     is_closed: bool = False
 
     def count_work(self, now: float) -> float:
-        """Engine tokens spent so far, prompt and output."""
+        """Count the prompt and output tokens that the engine has processed so far."""
         if self.started_at is None:
             return 0.0
         work = float(self.prompt_tokens - self.cached_tokens)
@@ -80,7 +80,7 @@
 
 @dataclass(eq=False)
 class Engine:
-    """Batches continuously; serves its queue by priority, then by age."""
+    """Batches continuously; serves its queue by priority, then by arrival."""
 
     simulation: Simulation
     settings: EngineSettings
@@ -95,11 +95,11 @@
 
     @property
     def load(self) -> int:
-        """Requests that run or wait here."""
+        """Number of jobs that run or wait on this engine."""
         return len(self.running) + len(self.queue)
 
     def submit(self, job: Job) -> None:
-        """Take a job."""
+        """Queue a job; a dead engine fails it."""
         if self.health is EngineHealth.DEAD:
             self.simulation.schedule(0.001, job.on_fail)
             return
@@ -108,7 +108,7 @@
         self._start_queued()
 
     def cancel(self, job: Job) -> None:
-        """Drop a job."""
+        """Remove a queued or running job."""
         job.is_closed = True
         if job in self.running:
             self.running.discard(job)
@@ -118,7 +118,7 @@
         heapify(self.queue)
 
     def crash(self, down_seconds: float) -> list[Job]:
-        """Lose everything that runs or waits; come back after a while."""
+        """Fail all queued and running jobs, and restart after a downtime in seconds."""
         lost = [*self.running, *(item[2] for item in self.queue)]
         self.running.clear()
         self.queue.clear()
@@ -131,7 +131,7 @@
         return lost
 
     def silence(self, timeout: float) -> None:
-        """Send nothing more; callers give running answers up at their timeout."""
+        """Stop sending tokens; answers that have begun fail after a timeout."""
         self.health = EngineHealth.SILENT
         for job in self.running:
             if (
@@ -146,7 +146,7 @@
         self.prefill_free_at = self.simulation.now
 
     def _start_queued(self) -> None:
-        """Start queued jobs while there are slots."""
+        """Start queued jobs while there are free slots."""
         if self.health is EngineHealth.SILENT:
             return
         while self.queue and len(self.running) < self.settings.capacity:
@@ -154,7 +154,7 @@
             self._start(job)
 
     def _start(self, job: Job) -> None:
-        """Prefill and decode a job."""
+        """Start a job and schedule its first token and its end."""
         now = self.simulation.now
         factor = SLOW_FACTOR if self.health is EngineHealth.SLOW else 1.0
         job.started_at = now
@@ -194,7 +194,7 @@
             action()
 
     def _use_cache(self, job: Job) -> int:
-        """Look the prefix up, keep it, drop the oldest beyond the size."""
+        """Return the cached tokens of the prefix, and cache it in LRU order."""
         reusable_tokens = self.cache.pop(job.prefix, 0)
         self.cache[job.prefix] = max(reusable_tokens, job.prefix_tokens)
         total = sum(self.cache.values())
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""Entries before queueing fakes of engines, to drive the decisions."""
+"""Simulated entries and fake engines that exercise the routing decisions."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -53,24 +53,24 @@
 
 @dataclass
 class FleetSettings:
-    """Size, faults and lag of a fleet.
+    """Size, report lag and limits of a fleet.
 
     Parameters
     ----------
     engines, entries, data_centres : int
-        Sizes; engines and entries are spread evenly.
+        Numbers; engines and entries are spread evenly over the data centres.
     nearby : tuple of DataCentre
         Data centres within a few milliseconds of each other.
     lag_seconds : float
-        Mean age of a load report when it arrives.
+        Mean delay of a load report.
     loss : float
-        Share of reports that are lost.
+        Share of the load reports that are lost.
     admission : bool
-        Whether entries limit what they send.
+        Whether entries use admission control.
     headroom : float
-        Requests sent for each slot of the engines.
+        Factor on the engines' slots when the admission limit is computed.
     silence_seconds : float
-        How long an attempt may wait for its first token.
+        Maximum time that an attempt waits for its first token.
     """
 
     engines: int = 10
@@ -94,7 +94,7 @@
 
 @dataclass(eq=False)
 class EntryFake:
-    """One entry: its tables, admission and retry budget."""
+    """One entry with its tables, admission control and retry budget."""
 
     data_centre: DataCentre
     admission: AdmissionController
@@ -104,16 +104,16 @@
 
 
 class Fleet:
-    """Runs offers through entries and engines.
+    """Runs requests through entries and engines.
 
     Parameters
     ----------
     settings : FleetSettings
         Sizes and faults.
     choose : callable
-        The placement under test.
+        Placement policy under test.
     seed : int
-        Seed of all draws.
+        Seed of all random draws.
     workspaces : dict
         Workspaces by name.
     """
@@ -140,7 +140,7 @@
         self._last_report: dict[EndpointId, float] = {}
 
     def run(self, requests: list[OfferedRequest], seconds: float) -> None:
-        """Offer requests at their times and run to an end."""
+        """Submit requests at their arrival times and run for a time."""
         for request in requests:
             self.simulation.schedule(
                 request.arrived_at, lambda request=request: self.submit(request)
@@ -151,7 +151,7 @@
         self.simulation.run(until)
 
     def submit(self, request: OfferedRequest) -> None:
-        """Bring a request to a random entry."""
+        """Submit a request to a random entry."""
         entry = self.rng.choice(self.entries)
         entry.retry_budget.record_offered()
         if not self.settings.admission:
@@ -195,7 +195,7 @@
         return entries
 
     def get_data_centre(self, number: int) -> DataCentre:
-        """Name the data centre of the engine or entry with a number."""
+        """Return the data centre of the engine or entry with this number."""
         return DataCentre(f"dc{number % self.settings.data_centres}")
 
     def _announce(self, id_: EndpointId, load: float) -> Announcement:
@@ -212,7 +212,7 @@
         )
 
     def _report(self) -> None:
-        """Send each engine's load to each entry, late and with gaps."""
+        """Send each engine's load to each entry, with lag and loss."""
         for id_, engine in self.engines.items():
             if engine.health is EngineHealth.DEAD:
                 continue
@@ -239,7 +239,7 @@
         row.outstanding_at_report = row.outstanding
 
     def _tick(self) -> None:
-        """Expire endpoints and queued requests; follow the load."""
+        """Expire endpoints and queued requests; adapt the limit to the load."""
         now = self.simulation.now
         for entry in self.entries:
             self._expire(entry, now)
@@ -290,7 +290,7 @@
     def _dispatch(
         self, entry: EntryFake, request: OfferedRequest, excluded: frozenset[EndpointId]
     ) -> None:
-        """Place one attempt and send it."""
+        """Choose an endpoint for one attempt and send it."""
         requirements = PlacementRequirements(
             VersionTarget(VERSION),
             entry.data_centre,
@@ -308,7 +308,7 @@
 
 
 def make_request_id(request: OfferedRequest) -> RequestId:
-    """Name a request; offers of several streams may share their numbers."""
+    """Make a unique id; the numbers of several generators may collide."""
     return RequestId(str(id(request)))
 
 
@@ -345,7 +345,7 @@
         )
 
     def send(self) -> None:
-        """Send the attempt and watch for its first token."""
+        """Send the attempt and check for silence until its first token."""
         fleet = self.fleet
         fleet.attempts += 1
         self.request.attempts += 1
--- a/benchmarks/generation.py
+++ b/benchmarks/generation.py
@@ -1,8 +1,8 @@
 """Placement and choice of models for streams over many entries and engines.
 
-Plays the gateway's own decisions against the engine of `benchmarks.batching`, with
-loads that entries learn late, at the sizes of the users' deployments. Compares with
-the least reported load, two random choices, and a single model for all.
+Runs the gateway's own decisions against the engine of `benchmarks.batching`, with
+delayed load reports, at the sizes of the users' deployments. Compares them with the
+least reported load, the better of two random choices, and a single model for all.
 """
 
 from click import command, option
@@ -20,14 +20,14 @@
 def choose_gateway(
     entry: Entry, heartbeats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
-    """Choose as the gateway does."""
+    """Choose an endpoint by the gateway's own placement."""
     return entry.placement.choose(heartbeats, call, now)
 
 
 def make_uncached_candidate(
     entry: Entry, heartbeat: EndpointHeartbeat, call: Call
 ) -> Candidate:
-    """Describe an endpoint for a choice that knows nothing of cached prompts."""
+    """Make a candidate whose estimate ignores cached prompt parts."""
     health = entry.health.find(heartbeat.endpoint, heartbeat.incarnation)
     load = entry.loads.find(heartbeat.endpoint)
     return Candidate(heartbeat, health, load, call.terms.prompt_tokens)
@@ -36,7 +36,7 @@
 def choose_least_loaded(
     entry: Entry, heartbeats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
-    """Choose the least reported load, any of those that are alike."""
+    """Choose an endpoint with the least reported load; ties are broken at random."""
     chosen = min(
         heartbeats,
         key=lambda heartbeat: (
@@ -50,7 +50,7 @@
 def choose_of_two(
     entry: Entry, heartbeats: list[EndpointHeartbeat], call: Call, now: Seconds
 ) -> Candidate | None:
-    """Choose the less loaded of two at random."""
+    """Choose the less loaded of two random endpoints."""
     sampled = entry.rng.sample(heartbeats, 2)
     chosen = min(
         sampled, key=lambda heartbeat: entry.loads.find(heartbeat.endpoint).requests
@@ -76,7 +76,7 @@
     replaced_share: float,
     restarted_at: float,
 ) -> Row:
-    """Play one policy and return its row."""
+    """Run one policy and return its row of the table."""
     choose, models = POLICIES[policy]
     halfway = 0.5 * (seconds + WARMUP_SECONDS)
     site_run = SiteRun(
@@ -102,7 +102,7 @@
 
 
 def average(rows: list[Row]) -> Row:
-    """Return the mean of the rows of one policy."""
+    """Return the mean of one policy's rows."""
     first = rows[0]
     return {
         key: value
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,4 +1,4 @@
-"""Ledger state machine: time and bytes of a command, memory of keys kept."""
+"""Ledger state machine: time and size of commands, memory for stored keys."""
 
 from collections.abc import Iterable
 from gc import collect
@@ -33,7 +33,7 @@
 
 
 class LedgerDriver:
-    """Feeds a machine with commands made from a seed."""
+    """Applies commands generated from a seed to a ledger state machine."""
 
     def __init__(self, seed: int) -> None:
         self.machine = LedgerMachine()
@@ -42,7 +42,7 @@
         self._sequence = 0
 
     def make_claim_and_finish(self) -> tuple[Claim, Finish]:
-        """Make the claim and the end of one non-idempotent request."""
+        """Make the claim and the finish of one request with an idempotency key."""
         bill = self.make_bill(keyed=True)
         token = f"{self._rng.getrandbits(128):032x}"
         body = self._rng.randbytes(ANSWER_BYTES)
@@ -51,7 +51,7 @@
         return claim, Finish(bill.workspace, bill.key, token, answer, bill)
 
     def make_bill(self, keyed: bool = False) -> Bill:
-        """Make the bill of a request that ran on two versions."""
+        """Make the bill of a request that escalated to a second version."""
         self._sequence += 1
         tokens = self._rng.randrange(100, 4_000)
         attempts = (
@@ -68,7 +68,7 @@
         )
 
     def apply_commands(self, encoded_commands: Iterable[bytes]) -> int:
-        """Apply encoded commands; return the bytes of the answers."""
+        """Apply encoded commands and return the total size of the answers in bytes."""
         size = 0
         for content in encoded_commands:
             self.index += 1
@@ -76,7 +76,7 @@
         return size
 
     def store_keys(self, keys: int) -> None:
-        """Make payments until this many keys are kept."""
+        """Claim and finish this many keys."""
         for _ in range(keys):
             self.apply_commands(map(encode_command, self.make_claim_and_finish()))
 
@@ -84,7 +84,7 @@
 def measure_commands(
     driver: LedgerDriver, kind: str, commands: list[LedgerCommand]
 ) -> Row:
-    """Measure applying one kind of command."""
+    """Measure the time and size of applying one kind of command."""
     encoded_commands = [encode_command(item) for item in commands]
     keys = len(driver.machine.keys.records)
     started = perf_counter()
@@ -100,7 +100,7 @@
 
 
 def measure_kinds(seed: int, keys: int) -> list[Row]:
-    """Measure each kind of command with this many keys kept."""
+    """Measure each kind of command while this many keys are stored."""
     driver = LedgerDriver(seed)
     driver.store_keys(keys)
     pairs = [driver.make_claim_and_finish() for _ in range(COMMANDS)]
@@ -119,7 +119,7 @@
 
 
 def measure_memory(seed: int, keys: int, hashes: int) -> Row:
-    """Measure memory and snapshot with this many keys, and hashes of expired ones."""
+    """Measure memory and snapshot with these numbers of keys and expired-key hashes."""
     collect()
     start_tracing()
     driver = LedgerDriver(seed)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -33,7 +33,7 @@
 
 
 def run_flood(seed: int, capacity: float, fair: bool) -> list[Row]:
-    """Let one workspace flood while the other asks for a fifth of the capacity."""
+    """Overload with one workspace while another requests a fifth of the capacity."""
     names = {name: name if fair else "all" for name in ("kubwa", "colofn")}
     workspaces = {
         name: Workspace(name=key, max_in_flight=10_000) for name, key in names.items()
@@ -67,7 +67,7 @@
 
 
 def summarize_requests(requests: list[OfferedRequest]) -> Row:
-    """Sum offers up by their outcome."""
+    """Summarize requests by their outcome."""
     finished = [request for request in requests if request.finished_at is not None]
     first_tokens = find_percentiles(
         [request.first_token_at - request.arrived_at for request in finished]
@@ -84,7 +84,7 @@
 
 
 def run_priorities(seed: int, capacity: float) -> list[Row]:
-    """Offer 120 percent and sum up by kind."""
+    """Offer 120 percent of the capacity and summarize by kind of request."""
     fleet = Fleet(FleetSettings(), choose_endpoint, seed, WORKSPACES)
     requests = list(make_requests(capacity * 1.2, RUN_SECONDS, Random(seed)))
     fleet.run(requests, RUN_SECONDS + DRAIN_SECONDS)
@@ -97,7 +97,7 @@
 
 
 def run_outage(seed: int, capacity: float, admission: bool, budget: bool) -> Row:
-    """Lose half of the engines for a minute, under callers that send again."""
+    """Crash half of the engines for a minute while callers resend failed requests."""
     fleet = Fleet(FleetSettings(admission=admission), choose_endpoint, seed, WORKSPACES)
     if not budget:
         for entry in fleet.entries:
@@ -125,7 +125,7 @@
 
 
 def make_resend(request: OfferedRequest, at: float) -> OfferedRequest:
-    """Make the offer of a caller that sends a request again."""
+    """Make the repeat of a request whose caller sends it again."""
     return replace(
         request,
         arrived_at=at,
@@ -140,7 +140,7 @@
 def summarize_outage(
     fleet: Fleet, requests: list[OfferedRequest], resent: list[OfferedRequest]
 ) -> Row:
-    """Sum up the goodput before, during and after an outage."""
+    """Summarize the goodput before, during and after an outage."""
     all_requests = [*requests, *resent]
     end = OUTAGE_START_SECONDS + OUTAGE_SECONDS
 
@@ -165,7 +165,7 @@
 
 
 def run_hedges(seed: int, hedge: bool) -> Row:
-    """Call plain servers of which a few answers straggle."""
+    """Call servers that answer a few calls slowly, with or without hedging."""
     rng = Random(seed)
     free_at = [0.0] * HEDGE_SERVERS
     hedges = HedgeBudget(RetryBudget())
@@ -192,7 +192,7 @@
 
 
 def call_server(free_at: list[float], now: float, rng: Random) -> float:
-    """Let the server that is free first answer one call; its latency."""
+    """Run one call on the server that is free first and return its latency."""
     seconds = rng.expovariate(1 / CALL_SECONDS)
     if rng.random() < STRAGGLER_SHARE:
         seconds += STRAGGLER_SECONDS
--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -1,7 +1,7 @@
-"""Replicated log: commit time, commands a second, recovery and memory.
+"""Replicated log: commit latency, commands per second, recovery and memory.
 
-The replicas run in one process with a transport in memory, so three voters
-share one core; the disk and its syncs are real.
+The replicas run in one process with an in-memory transport, so three voters
+share one core. Writes and syncs go to the real disk.
 """
 
 from gc import collect
@@ -36,7 +36,7 @@
 
 
 class CountingMachine:
-    """A machine that costs nothing."""
+    """State machine that only counts commands, so that the log's cost is measured."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -56,14 +56,14 @@
 
 
 class CountingTransport:
-    """Delivers within the process and counts bytes."""
+    """Delivers messages within the process and counts their bytes."""
 
     def __init__(self, groups: dict[InstanceId, LogGroup]) -> None:
         self.groups = groups
         self.bytes = 0
 
     def send(self, target: InstanceId, body: bytes) -> None:
-        """Deliver at once."""
+        """Deliver a message immediately."""
         self.bytes += len(body)
         group = self.groups.get(target)
         if group is not None:
@@ -71,14 +71,14 @@
 
 
 def read_clock() -> Seconds:
-    """Return seconds that count while the machine sleeps."""
+    """Return the boot time in seconds, which also advances during suspend."""
     return Seconds(clock_gettime(CLOCK_BOOTTIME))
 
 
 def start_groups(
     folder: Path, voters: int, seed: int, snapshot_entries: int
 ) -> tuple[dict[InstanceId, LogGroup], CountingTransport]:
-    """Start the replicas of one group and wait for a leader."""
+    """Start the replicas of one group and wait until one holds the lease."""
     groups: dict[InstanceId, LogGroup] = {}
     transport = CountingTransport(groups)
     names = REPLICA_IDS[:voters]
@@ -102,14 +102,14 @@
 
 
 def find_leader(groups: dict[InstanceId, LogGroup]) -> LogGroup:
-    """Return the replica that leads."""
+    """Return the leader."""
     return next(group for group in groups.values() if group.is_leader)
 
 
 def measure_commits(
     folder: Path, voters: int, proposers: int, seconds: float, seed: int
 ) -> Row:
-    """Measure commits by some proposers that each wait for their answer."""
+    """Measure commits by concurrent proposers that each wait for their answer."""
     groups, _ = start_groups(folder, voters, seed, snapshot_entries=20_000)
     leader = find_leader(groups)
     times: list[float] = []
@@ -141,7 +141,7 @@
 
 
 def measure_sync(folder: Path, count: int = 200) -> Row:
-    """Measure the disk alone: one small synced record after another."""
+    """Measure the disk alone: sequential synced writes of small records."""
     journal = Journal(folder / "sync", ReplicaId("sync"))
     times = []
     for index in range(count):
@@ -160,7 +160,7 @@
 
 
 def measure_recovery(folder: Path, entries: int, seed: int) -> Row:
-    """Measure the start of a single voter with a log and no snapshot."""
+    """Measure how long a single voter takes to start from a log without a snapshot."""
     groups, _ = start_groups(folder, 1, seed, snapshot_entries=10**9)
     leader = find_leader(groups)
     for _ in range(0, entries, BATCH_COMMANDS):
@@ -190,7 +190,7 @@
 
 
 def measure_memory(entries: int) -> Row:
-    """Measure the bytes that entries take in memory."""
+    """Measure the memory used by log entries."""
     collect()
     start_tracing()
     before = get_traced_memory()[0]
@@ -207,7 +207,7 @@
 
 
 def measure_idle(folder: Path, seed: int) -> Row:
-    """Measure the traffic and processor time of an idle group of three."""
+    """Measure the traffic and CPU time of an idle group of three replicas."""
     groups, transport = start_groups(folder, 3, seed, snapshot_entries=1000)
     before = transport.bytes
     cpu_seconds = process_time()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,4 +1,4 @@
-"""Placement under load against round robin, least load and two choices."""
+"""Placement under load, compared with round robin, least load and two choices."""
 
 from dataclasses import replace
 from random import Random
@@ -33,7 +33,7 @@
 
 
 def make_round_robin() -> ChooseEndpoint:
-    """Make a round robin over all endpoints, each entry with its own turn."""
+    """Make a round-robin policy over all endpoints, with a separate turn per entry."""
     turns: dict[int, int] = {}
 
     def choose(
@@ -58,7 +58,7 @@
     now: Seconds,
     rng: Random,
 ) -> EndpointId | None:
-    """Choose the least reported load."""
+    """Choose an endpoint with the least reported load."""
     candidates = list_candidates(tables, requirements)
     rng.shuffle(candidates)
     rows = tables.endpoints
@@ -71,7 +71,7 @@
     now: Seconds,
     rng: Random,
 ) -> EndpointId | None:
-    """Choose the less loaded by report of two random endpoints."""
+    """Choose, of two random endpoints, the one with the less reported load."""
     candidates = list_candidates(tables, requirements)
     sampled = rng.sample(candidates, min(2, len(candidates)))
     rows = tables.endpoints
@@ -87,7 +87,7 @@
 
 
 def inject_fault(fleet: Fleet, fault: str) -> None:
-    """Cause a fault in the running fleet."""
+    """Inject a fault into the running fleet."""
     engines = list(fleet.engines.values())
     match fault:
         case "slow":
@@ -100,15 +100,15 @@
 
 
 def remove_engine(engine: Engine) -> None:
-    """Take an engine away for good."""
+    """Crash an engine that never restarts."""
     engine.crash(1e9)
 
 
 def find_capacity(settings: FleetSettings, seed: int) -> float:
-    """Measure the requests a second of a fleet that is kept full.
+    """Measure the throughput of a saturated fleet in requests per second.
 
-    As many requests as the engines have slots are in flight all the time, in the
-    mix of the workload, placed by our policy.
+    Exactly as many requests as the engines have slots are in flight at any time.
+    They have the mix of the traffic and are placed by the router's own policy.
     """
     full = replace(settings, admission=False, silence_seconds=1e9)
     fleet = Fleet(full, choose_endpoint, seed, WORKSPACES)
@@ -143,7 +143,7 @@
 
 
 def summarize(fleet: Fleet, requests: list[OfferedRequest]) -> Row:
-    """Sum a run up, without its warm-up."""
+    """Summarize a run without its warm-up."""
     counted = [request for request in requests if request.arrived_at > WARMUP_SECONDS]
     finished = [request for request in counted if request.finished_at is not None]
     first_tokens = find_percentiles([o.first_token_at - o.arrived_at for o in finished])
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -1,4 +1,4 @@
-"""Poison requests: endpoints crashed, innocents refused, time to clear."""
+"""Poison requests: crashes, refused harmless requests, time to clear suspects."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -52,7 +52,7 @@
 def record_incident(
     suspects: dict[Fingerprint, Suspect], fingerprint: Fingerprint, incident: Incident
 ) -> None:
-    """Count a crash, as the control log does."""
+    """Count a crash of a suspect, as the control state machine does."""
     known = suspects.get(fingerprint, Suspect())
     suspects[fingerprint] = Suspect(known.crashes + 1, incident.endpoint)
 
@@ -74,7 +74,7 @@
 
 @dataclass(eq=False)
 class EndpointFake:
-    """Runs calls; a poison call crashes it after a short while."""
+    """Runs calls; a poison call crashes it after `CRASH_DELAY_SECONDS`."""
 
     id: EndpointId
     incarnation: Incarnation = Incarnation(1)
@@ -84,7 +84,7 @@
 
 @dataclass(eq=False)
 class EntryFake:
-    """What one entry knows."""
+    """One entry's replica of the suspects and its own quarantine state."""
 
     number: int
     suspects: dict[Fingerprint, Suspect] = field(default_factory=dict)
@@ -95,18 +95,18 @@
 
 @dataclass
 class Case:
-    """Which rules are in force.
+    """Quarantine rules of one case.
 
     Parameters
     ----------
     name : str
-        For the table.
+        Name in the table.
     record_suspects : bool
         Whether suspects are recorded at all.
     single_retry : bool
-        Whether suspects wait and only the first recorder retries.
+        Whether suspects wait, and only the entry that recorded a crash first retries.
     lag_seconds : float
-        Longest time for a record to reach an entry.
+        Maximum time until a committed record reaches an entry.
     """
 
     name: str
@@ -116,14 +116,14 @@
 
 
 class PoisonFleet:
-    """Entries, endpoints, a replicated table of suspects, and callers.
+    """Simulates entries, endpoints, callers and a replicated table of suspects.
 
     Parameters
     ----------
     case : Case
-        Rules.
+        Rules to apply.
     seed : int
-        Seed of all draws.
+        Seed of all random draws.
     """
 
     def __init__(self, case: Case, seed: int) -> None:
@@ -144,7 +144,7 @@
         self.clear_seconds: list[float] = []
 
     def run(self) -> None:
-        """Run all callers to an end."""
+        """Run all callers, then let the open requests finish."""
         time, number = self.rng.expovariate(RATE), 0
         while time < RUN_SECONDS:
             self.simulation.schedule(time, lambda n=number: self._arrive(n))
@@ -153,7 +153,7 @@
         self.simulation.run(RUN_SECONDS + DRAIN_SECONDS)
 
     def _arrive(self, number: int) -> None:
-        """Let a caller make one request, sometimes twice at once."""
+        """Let a caller send one request; some callers send a poison request twice."""
         poison = self.rng.random() < POISON_SHARE
         common = not poison and self.rng.random() < COMMON_SHARE
         name = "common" if common else f"{'p' if poison else 'i'}{number}"
@@ -172,13 +172,13 @@
     def _send(
         self, fingerprint: Fingerprint, poison: bool, seconds: float, resends: int
     ) -> None:
-        """Bring a request to a random entry, under a new key."""
+        """Submit a request to a random entry, as under a new idempotency key."""
         entry = self.rng.choice(self.entries)
         now = self.simulation.now
         self._plan(Call(fingerprint, poison, now, seconds, resends, entry))
 
     def _plan(self, call: Call) -> None:
-        """Run, hold or refuse a request by what its entry knows."""
+        """Run, delay or refuse a request according to its entry's suspects."""
         clearance = check_fingerprint(call.entry.suspects, call.fingerprint)
         if not self.case.single_retry:
             refused = (
@@ -205,7 +205,10 @@
         self.simulation.schedule(max(0.01, seconds), lambda: self._plan(call))
 
     def _place(self, call: Call, clearance: object) -> None:
-        """Send a request to the least busy endpoint that may have it."""
+        """Send a request to the less busy of two random allowed endpoints.
+
+        With `single_retry`, an isolated suspect runs only on its assigned endpoint.
+        """
         entry = call.entry
         up = [candidate for candidate in self.endpoints if candidate.up]
         assigned: dict[Fingerprint, EndpointId] = {}
@@ -251,7 +254,7 @@
     def _crash(
         self, call: Call, endpoint: EndpointFake, incarnation: Incarnation
     ) -> None:
-        """Crash the endpoint, if it still runs the call."""
+        """Crash the endpoint if it still runs the call."""
         if endpoint.incarnation != incarnation or call not in endpoint.running:
             return
         self.crashes[call.fingerprint] += 1
@@ -267,7 +270,7 @@
             )
 
     def _record(self, call: Call, incident: Incident) -> None:
-        """Commit a crash record and go on by its answer."""
+        """Commit a crash record, then plan the next attempt or fail the call."""
         known_good = self.case.single_retry and call.fingerprint in call.entry.finished
         if self.case.record_suspects and not known_good:
             report = (call.fingerprint, incident)
@@ -297,7 +300,7 @@
             self._clear(call)
 
     def _clear(self, call: Call) -> None:
-        """Commit that a suspect has finished."""
+        """Commit that a suspect finished, which clears it."""
         if call.suspected_at is not None:
             self.clear_seconds.append(self.simulation.now - call.suspected_at)
 
@@ -311,7 +314,10 @@
     def _replicate(
         self, recorder: EntryFake, change: Callable[[dict[Fingerprint, Suspect]], None]
     ) -> None:
-        """Apply a change to the log, then to every entry in order, with a lag."""
+        """Apply a change to the committed table, then with a lag to every entry.
+
+        Each entry applies the changes in order; the recording entry has no lag.
+        """
         change(self.committed_suspects)
         now = self.simulation.now
         for entry in self.entries:
@@ -333,7 +339,7 @@
         self._schedule_resend(call)
 
     def _schedule_resend(self, call: Call) -> None:
-        """Let the caller of a failed request send it again."""
+        """Let the caller of a failed request send it again if resends are left."""
         if not call.resends:
             return
         self.simulation.schedule(
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Tables and JSON files of the benches."""
+"""Tables and JSON files with the results of the benchmarks."""
 
 from collections.abc import Sequence
 from json import dumps
@@ -25,7 +25,7 @@
 
 
 def print_table(rows: Sequence[Row]) -> None:
-    """Print rows under the names of their columns."""
+    """Print rows as a right-aligned table with a header."""
     columns = list(rows[0])
     cells = [columns] + [[_format(row[column]) for column in columns] for row in rows]
     widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
@@ -38,7 +38,7 @@
 
 
 def find_percentiles(values: Sequence[float]) -> tuple[float, float, float]:
-    """Find the 50th, 95th and 99th percentile; zeros when there are no values."""
+    """Return the 50th, 95th and 99th percentile, or zeros without values."""
     if not values:
         return 0.0, 0.0, 0.0
     p50, p95, p99 = percentile(values, (50, 95, 99))
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -28,20 +28,20 @@
 TICK_SECONDS = 5.0
 REQUESTS_PER_SECOND = 10.0
 MAX_SECONDS = 14_400.0
-# Time until a committed change of the progress is in force at the entries.
+# Time until the entries apply a committed change of the progress.
 PROPAGATION_SECONDS = 5.0
-# Share of the answers that are rated, and the time that it takes.
+# Shares of the answers that are rated, and the time that a rating takes.
 CURRENT_RATED = 0.1
 CANDIDATE_RATED = 0.5
 RATING_SECONDS = 10.0
 ANSWER_SECONDS = 5.0
-# Candidate's requests of a stage within which a version that turns bad does so; the
-# stage is any of them, alike.
+# A version that turns bad does so within this many of the candidate's requests of a
+# stage; the stage is drawn uniformly.
 REGRESSION_REQUESTS = 50
-# Time without a leader when one is lost, and when it is lost.
+# Second at which the leader is lost, and seconds until the next one leads.
 LEADER_LOST_AT = 300.0
 LEADER_LOST_SECONDS = 15.0
-# Time from a canary's last request to its stop in force, as for the roll-outs.
+# Time from a canary's last request until its stop applies, as in the roll-outs.
 CANARY_DELAY_SECONDS = ANSWER_SECONDS + RATING_SECONDS + 5.0 + PROPAGATION_SECONDS
 DRAWS = 200_000
 TICKET = TicketNumber(1)
@@ -50,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """How a version behaves.
+    """Failures, latency and quality of a version.
 
     Parameters
     ----------
     failures : float
-        Share of the requests that fail.
+        Share of its requests that fail.
     first_token_seconds : float
         Median time to the first token.
     quality : float
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """A candidate: how it behaves at first, and after it has turned."""
+    """A candidate with its behaviour before and, if it turns bad, after the turn."""
 
     name: str
     before: Behaviour
@@ -95,20 +95,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """Circumstances of a run.
+    """Conditions of a run.
 
     Parameters
     ----------
     name : str
-        For the table.
+        Name in the table.
     entries : int
         Entries that share the traffic.
     report_seconds : float
         Age of an entry's report when the leader gets it.
     lose_leader : bool
-        Whether the leader is lost halfway, with all that it held.
+        Whether the leader is lost during the run, with its collected evidence.
     rollouts : int
-        Roll-outs at once, of different models.
+        Number of concurrent roll-outs, each of a different model.
     """
 
     name: str
@@ -129,16 +129,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """End of one roll-out.
+    """Result of one roll-out.
 
     Parameters
     ----------
     state : str
-        How it ended.
+        Final state.
     exposed : int
-        Requests on the candidate while it was bad; all of them if it never was.
+        Requests on the candidate while it was bad; all of them if it never turns.
     seconds : float
-        When it ended.
+        Second at which it ended.
     """
 
     state: str
@@ -147,7 +147,7 @@
 
 
 class Bins:
-    """Chances of the latency and score bins of a behaviour."""
+    """Probabilities of the latency and score bins of a behaviour."""
 
     def __init__(self, behaviour: Behaviour, rng: np.random.Generator) -> None:
         self.behaviour = behaviour
@@ -161,14 +161,14 @@
 
 
 def draw_scores(behaviour: Behaviour, count: int, rng: np.random.Generator) -> Floats:
-    """Draw ratings of a behaviour's answers, good ones and poor ones."""
+    """Draw ratings of a behaviour's answers, a mixture of good and poor ones."""
     good = rng.random(count) < (behaviour.quality - 0.35) / (0.93 - 0.35)
     means = np.where(good, 0.93, 0.35)
     return rng.beta(means * 8.0, (1.0 - means) * 8.0)
 
 
 class Arm:
-    """Requests of one version at one entry, with what is still to come of them."""
+    """Requests of one version at one entry, with their pending answers and ratings."""
 
     def __init__(self, rated_share: float, rng: np.random.Generator) -> None:
         self.counts = ArmCounts()
@@ -178,7 +178,7 @@
         self.ratings: list[tuple[float, np.ndarray]] = []
 
     def dispatch(self, now: float, count: int, bins: Bins) -> None:
-        """Dispatch requests."""
+        """Dispatch requests, whose answers become due later."""
         self.counts.started += count
         self.answers.append((now + ANSWER_SECONDS, count, bins))
 
@@ -203,16 +203,16 @@
 
 
 class RolloutRun:
-    """Drives roll-outs of one trial until they end.
+    """Runs the roll-outs of one trial until they end.
 
     Parameters
     ----------
     trial : Trial
         The candidates' behaviour.
     setting : Setting
-        Circumstances.
+        Conditions of the run.
     bins : dict
-        Bins of each behaviour.
+        Bin probabilities of each behaviour.
     seed : int
         Seed of the traffic.
     """
@@ -246,7 +246,7 @@
         self.sequence = 0
 
     def run(self) -> list[Result]:
-        """Run until every roll-out has ended or the time is over."""
+        """Run until every roll-out has ended or `MAX_SECONDS` have passed."""
         now = 0.0
         while now < MAX_SECONDS and len(self.ended) < len(self.names):
             now += TICK_SECONDS
@@ -356,16 +356,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CanaryRun:
-    """Greatest z statistic of each stage of one fixed-step canary.
+    """Maximum z statistic of each stage of one fixed-step canary.
 
     Parameters
     ----------
     statistics : tuple of float
-        By stage.
+        Maximum over the metrics, by stage.
     step : int
-        Candidate's requests in a stage.
+        Requests on the candidate in each stage.
     bad_after : int
-        Candidate's requests before it was bad.
+        Requests on the candidate before it turned bad.
     """
 
     statistics: tuple[float, ...]
@@ -373,7 +373,7 @@
     bad_after: int
 
     def count_exposed(self, limit: float) -> tuple[bool, float]:
-        """Whether it stops at a limit, and the bad requests until then."""
+        """Return whether a z limit stops the canary, and its bad requests."""
         exposed = 0.0
         for stage, statistic in enumerate(self.statistics):
             delayed = STAGES[stage] * REQUESTS_PER_SECOND * CANARY_DELAY_SECONDS
@@ -386,9 +386,9 @@
 def run_canary(
     trial: Trial, step: int, bins: dict[Behaviour, Bins], rng: np.random.Generator
 ) -> CanaryRun:
-    """Run a canary that looks after a fixed number of requests in each stage.
+    """Run a canary that tests after a fixed number of requests in each stage.
 
-    A version that turns bad does so at any of its requests, alike.
+    The request at which a version turns bad is drawn uniformly.
     """
     bad_after = 0
     if trial.after is not None:
@@ -457,7 +457,7 @@
 
 
 def describe(name: str, trial: Trial, results: Sequence[Result]) -> str:
-    """Describe the results of one trial in a line of the table."""
+    """Format the results of one trial as a line of the table."""
     stopped = [r for r in results if r.state == RolloutState.STOPPED]
     completed = [r for r in results if r.state == RolloutState.COMPLETED]
     exposed = [r.exposed for r in results]
@@ -540,7 +540,7 @@
     mean_exposed: dict[str, float],
     rng: np.random.Generator,
 ) -> list[dict[str, object]]:
-    """Print and return exposure and misses of canaries of several step sizes."""
+    """Print and return the exposure and misses of canaries of several step sizes."""
     echo(f"{'step':>6}{'candidate':>16}{'missed':>8}{'exposed':>9}{'ours/it':>9}")
     rows: list[dict[str, object]] = []
     for step in (50, 100, 200, 400):
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -1,4 +1,4 @@
-"""An agenda of timed actions for the fakes of the benches."""
+"""Discrete-event simulation that the fakes of the benchmarks run in."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -10,7 +10,7 @@
 
 
 class Simulation:
-    """Runs actions in the order of their times."""
+    """Runs scheduled actions in the order of their times, in virtual seconds."""
 
     def __init__(self) -> None:
         self.now = Seconds(0.0)
@@ -18,11 +18,11 @@
         self._queue: list[tuple[float, int, Action]] = []
 
     def schedule(self, delay: float, action: Action) -> None:
-        """Run an action after a delay in seconds."""
+        """Schedule an action after a delay in seconds."""
         heappush(self._queue, (self.now + delay, next(self._sequence), action))
 
     def schedule_every(self, period: float, action: Action, until: float) -> None:
-        """Run an action each period until a time."""
+        """Schedule an action once per period, up to a given time."""
 
         def run() -> None:
             action()
@@ -32,7 +32,7 @@
         self.schedule(period, run)
 
     def run(self, until: float) -> None:
-        """Run all actions up to a time."""
+        """Run all actions that are due up to a time."""
         while self._queue and self._queue[0][0] <= until:
             time, _, action = heappop(self._queue)
             self.now = Seconds(time)
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,4 +1,4 @@
-"""Streams under silence, breaks, disorder, repeats and late chunks."""
+"""Stream assembly under truncation, reordering, duplicates and late chunks."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -22,7 +22,7 @@
 
 
 def make_events(request: RequestId, count: int, start: int) -> list[Event]:
-    """Make the events of an answer from one index on, with the end marker."""
+    """Make the events of an answer from an index on, with the end marker."""
     events: list[Event] = [
         Chunk(request, index, f"{request}/{index} ") for index in range(start, count)
     ]
@@ -39,24 +39,24 @@
 
 
 def truncate(events: list[Event], rng: Random) -> list[Event]:
-    """Break off, or fall silent, anywhere."""
+    """Cut the stream at a random event, like a broken or silent connection."""
     return events[: rng.randrange(len(events))]
 
 
 def drop_end_marker(events: list[Event], rng: Random) -> list[Event]:
-    """Cut exactly at the end marker."""
+    """Drop only the end marker."""
     return events[:-1]
 
 
 def reorder(events: list[Event], rng: Random) -> list[Event]:
-    """Bring chunks out of order, each by up to 20 places."""
+    """Reorder chunks, each by up to 20 positions."""
     chunks = [event for event in events if event is not DONE]
     chunks.sort(key=lambda chunk: chunk.index + rng.uniform(0, 20))
     return [*chunks, DONE]
 
 
 def duplicate(events: list[Event], rng: Random) -> list[Event]:
-    """Send some chunks again, later."""
+    """Repeat a third of the chunks, and reorder all by up to 5 positions."""
     chunks = list(events[:-1])
     for chunk in rng.sample(events[:-1], len(events) // 3):
         chunks.insert(rng.randrange(len(chunks) + 1), chunk)
@@ -65,7 +65,7 @@
 
 
 def drop_chunk(events: list[Event], rng: Random) -> list[Event]:
-    """Lose one chunk on the way."""
+    """Drop one random chunk."""
     if len(events) < 2:
         return events
     lost = rng.randrange(len(events) - 1)
@@ -73,20 +73,20 @@
 
 
 def insert_foreign_chunk(events: list[Event], rng: Random) -> list[Event]:
-    """Slip in a chunk of another request."""
+    """Insert a chunk of another request."""
     position = rng.randrange(len(events))
     other = Chunk(RequestId("other"), position, "theirs ")
     return [*events[:position], other, *events[position:]]
 
 
 def send_after_end(events: list[Event], rng: Random) -> list[Event]:
-    """Go on after the end marker."""
+    """Send another chunk after the end marker."""
     first = next(event for event in events if event is not DONE)
     return [*events, Chunk(first.request, first.index + 500, "more ")]
 
 
 def end_early(events: list[Event], rng: Random) -> list[Event]:
-    """Send the end marker before the end."""
+    """Send the end marker in place of a random event and stop."""
     position = rng.randrange(len(events))
     return [*events[:position], DONE]
 
@@ -117,7 +117,7 @@
         self.assembler = StreamAssembler(request)
 
     def read(self, fault: Fault) -> str:
-        """Read the answer; whole, error or wrong."""
+        """Read the answer and return "whole", "error" or "wrong"."""
         expected = "".join(f"{self.request}/{index} " for index in range(self.count))
         for _ in range(ATTEMPTS):
             self.attempts += 1
@@ -130,7 +130,7 @@
         return "error" if expected.startswith(self.text) else "wrong"
 
     def _read_attempt(self, fault: Fault) -> None:
-        """Read one attempt, with late chunks of the one before among its own."""
+        """Read one attempt, mixed with late chunks of the previous attempt."""
         done = False
         for attempt, event in self._list_events(fault):
             if event is DONE:
@@ -141,7 +141,7 @@
         self.assembler.finish(done)
 
     def _list_events(self, fault: Fault) -> Iterator[tuple[int, Event]]:
-        """List the events of the attempt and the late ones of the last."""
+        """Yield the attempt's events and late ones of the previous attempt."""
         current = self.assembler.attempt
         events = make_events(self.request, self.count, self.assembler.next_index)
         faulty = self.rng.random() < FAULT_PROBABILITY
@@ -156,7 +156,7 @@
             yield current, event
 
     def _resume(self) -> None:
-        """Go on at the next index on another endpoint."""
+        """Resume at the next index on another endpoint."""
         if self.assembler.complete:
             return
         try:
@@ -166,14 +166,14 @@
 
 
 def replace_content(event: Event) -> Event:
-    """Give a late chunk the words of an endpoint that answered otherwise."""
+    """Replace a late chunk's content, as if the endpoint had answered differently."""
     if event is DONE:
         return event
     return Chunk(event.request, event.index, "late ")
 
 
 def run_fault(name: str, fault: Fault, seed: int) -> Row:
-    """Read many answers under one fault."""
+    """Read `STREAMS` answers under one fault and count the outcomes."""
     rng = Random(f"{seed}/{name}")
     outcomes: Counter[str] = Counter()
     attempts = 0
--- a/benchmarks/ticket.py
+++ b/benchmarks/ticket.py
@@ -1,4 +1,4 @@
-"""Tickets: time to check and apply one, by the size of the configuration."""
+"""Tickets: time to validate and apply one, by size of the configuration."""
 
 from json import dumps
 from time import perf_counter
@@ -15,7 +15,7 @@
 )
 from bergamotwood_core.states import TicketOutcome
 
-# Workspaces, and models of two versions.
+# Numbers of workspaces, and of models with two versions each.
 SIZES = ((10, 3), (100, 10), (1_000, 40))
 TICKETS = 200
 WORKSPACES_PER_TICKET = 100
@@ -23,7 +23,7 @@
 
 
 def make_initial_tickets(workspaces: int, models: int) -> list[dict[str, Any]]:
-    """Make the tickets that build the whole first state."""
+    """Make the tickets that create the initial configuration."""
     names = [f"model-{number}" for number in range(models)]
     versions = [f"{name}:{version}" for name in names for version in (1, 2)]
     tickets: list[dict[str, Any]] = [
@@ -40,7 +40,7 @@
 
 
 def apply_ticket(machine: ControlMachine, content: dict[str, Any]) -> float:
-    """Apply a ticket with the next number; return milliseconds."""
+    """Apply a ticket with the next number and return the time in milliseconds."""
     index = machine.tables.index + 1
     ticket = dumps({"number": index, **content}).encode()
     command = encode_command(ApplyTicket(ticket))
@@ -54,7 +54,7 @@
 
 
 def measure_size(workspaces: int, models: int) -> Row:
-    """Measure tickets that each change one model."""
+    """Measure tickets that each change one model at one configuration size."""
     machine = ControlMachine()
     for ticket in make_initial_tickets(workspaces, models):
         apply_ticket(machine, ticket)
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -1,4 +1,4 @@
-"""Requests of both fleets: chapters, letters, notes and editing sessions."""
+"""Requests of both users' fleets: chapters, letters, notes and editing sessions."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -14,13 +14,13 @@
     Parameters
     ----------
     share : float
-        Part of all requests.
+        Share of all requests.
     prefix_tokens, prompt_tokens, output_tokens : int
-        Means; the shared prefix is part of the prompt.
+        Mean tokens; the shared prefix is part of the prompt.
     prefixes : int
-        How many different prefixes are in use at a time.
+        Number of different prefixes in use.
     first_seconds : float
-        Deadline of the first token.
+        Deadline of the first token in seconds after arrival.
     """
 
     name: str
@@ -44,7 +44,7 @@
 
 @dataclass(eq=False)
 class OfferedRequest:
-    """A request as a caller makes it, and what became of it."""
+    """A request as sent by a caller, and its outcome."""
 
     number: int
     arrived_at: float
@@ -63,7 +63,7 @@
 
     @property
     def met_deadline(self) -> bool:
-        """Whether it was answered whole and began in time."""
+        """Whether the answer is complete and its first token was in time."""
         if self.finished_at is None or self.first_token_at is None:
             return False
         return self.first_token_at - self.arrived_at <= self.kind.first_seconds
@@ -72,18 +72,18 @@
 def make_requests(
     rate: float, seconds: float, rng: Random, kinds: tuple[RequestKind, ...] = KINDS
 ) -> Iterator[OfferedRequest]:
-    """Make Poisson arrivals of mixed kinds.
+    """Generate Poisson arrivals of a mix of kinds.
 
     Parameters
     ----------
     rate : float
-        Requests a second.
+        Requests per second.
     seconds : float
-        For how long.
+        Duration of the arrivals.
     rng : Random
-        Source of times and sizes.
+        Generator of arrival times and sizes.
     kinds : tuple of RequestKind
-        The mix.
+        Kinds of requests in the mix.
     """
     time = rng.expovariate(rate)
     number = 0
@@ -109,6 +109,6 @@
 
 
 def hash_prefix(kind: RequestKind, number: int) -> int:
-    """Hash a prefix, alike in every run."""
+    """Return a hash for a prefix that is the same in every run."""
     seed = Random(f"{kind.name}/{number}")
     return seed.getrandbits(64)
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -1,4 +1,4 @@
-"""Workloads of both fleets: classes, versions and how their quality moves."""
+"""Workloads of both users' fleets: classes, versions and quality drift."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Drift(StrEnum):
-    """How the versions' chances move."""
+    """How the versions' probabilities of a good answer change during a run."""
 
     STEADY = "steady"
     DRIFT = "drift"
@@ -18,7 +18,7 @@
 
 
 class Ratings(StrEnum):
-    """How good and how many ratings are."""
+    """Scenarios of the number, delay and noise of the ratings."""
 
     ENOUGH = "enough"
     ONE = "one"
@@ -35,9 +35,9 @@
     Parameters
     ----------
     per_request : float
-        Ratings that may be asked for, for each request.
+        Maximum number of ratings per request, on average.
     delay_seconds : float
-        Time until a sampled rating is known.
+        Time until the score of a sampled answer is available.
     precision : float
         Concentration of a score around the true quality; higher is less noisy.
     """
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassTraits:
-    """A kind of request and each version's chance of a good answer."""
+    """A class of requests, and each version's probability of a good answer."""
 
     name: str
     share: float
@@ -81,20 +81,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """The requests of one workspace.
+    """Requests of one workspace and the versions that answer them.
 
     Parameters
     ----------
     name : str
-        Fleet and size.
+        Fleet and number of versions.
     versions, classes : tuple
-        What answers and what is asked.
+        Versions that answer, and classes of requests.
     target : float
-        Mean quality wanted.
+        Target of the mean quality.
     latency_weight : float
-        Cost units for each second to the first token.
+        Cost units per second until the first token.
     requests_per_second : float
-        Arrival rate.
+        Mean arrival rate.
     """
 
     name: str
@@ -162,17 +162,18 @@
 )
 WORKLOADS = {w.name: w for w in (KUBWA_THREE, KUBWA_FIVE, COLOFN_FOUR, COLOFN_SIX)}
 
-# Mean quality of a good and of a poor answer, and the spread of both.
+# Mean quality of good and of poor answers, and the precision of their distributions.
 GOOD_QUALITY = 0.93
 POOR_QUALITY = 0.35
 GOOD_PRECISION = 40.0
 POOR_PRECISION = 10.0
-# Share of a request's difficulty that all versions feel alike.
+# Share of the variance in a request's difficulty that is common to all versions.
 SHARED_DIFFICULTY = 0.3
-# Standard deviation of the logit's slow swing, and swings over a run.
+# Amplitude of the logit's sine drift, and its periods in a run.
 DRIFT_LOGIT_AMPLITUDE = 0.8
 DRIFT_CYCLES = 2.0
-# Part of a run in which one version is bad, and what is left of its chances.
+# Fractions of a run between which one version is bad, and the factor on its
+# probabilities meanwhile.
 BAD_START = 0.4
 BAD_END = 0.7
 BAD_FACTOR = 0.4
@@ -181,7 +182,7 @@
 def draw_probabilities(
     workload: Workload, drift: Drift, count: int, rng: np.random.Generator
 ) -> Floats:
-    """Make each version's chances over a run, by request, class and version."""
+    """Draw the probabilities of good answers by request, class and version."""
     base = np.array([traits.probabilities for traits in workload.classes])
     probabilities = np.broadcast_to(base, (count, *base.shape)).copy()
     times = np.arange(count) / count
