--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -90,7 +90,7 @@
     fleet.run(requests, RUN_SECONDS + DRAIN_SECONDS)
     rows = []
     for kind in KINDS:
-        counted = [o for o in requests if o.kind is kind and o.arrived_at > 30.0]
+        counted = [r for r in requests if r.kind is kind and r.arrived_at > 30.0]
         labels: Row = {"kind": kind.name, "priority": kind.priority.name}
         rows.append(labels | summarize_requests(counted))
     return rows
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -146,11 +146,11 @@
     """Summarize a run without its warm-up."""
     counted = [request for request in requests if request.arrived_at > WARMUP_SECONDS]
     finished = [request for request in counted if request.finished_at is not None]
-    first_tokens = find_percentiles([o.first_token_at - o.arrived_at for o in finished])
-    completions = find_percentiles([o.finished_at - o.arrived_at for o in finished])
-    reusable = sum(o.kind.prefix_tokens for o in finished)
+    first_tokens = find_percentiles([r.first_token_at - r.arrived_at for r in finished])
+    completions = find_percentiles([r.finished_at - r.arrived_at for r in finished])
+    reusable = sum(r.kind.prefix_tokens for r in finished)
     return {
-        "goodput": sum(o.met_deadline for o in counted)
+        "goodput": sum(r.met_deadline for r in counted)
         / (RUN_SECONDS - WARMUP_SECONDS),
         "first50": first_tokens[0],
         "first95": first_tokens[1],
@@ -158,11 +158,11 @@
         "done50": completions[0],
         "done95": completions[1],
         "done99": completions[2],
-        "hits": sum(o.cached_tokens for o in finished) / max(1, reusable),
-        "refused": sum(o.refused for o in counted) / len(counted),
-        "failed": sum(o.failed for o in counted) / len(counted),
+        "hits": sum(r.cached_tokens for r in finished) / max(1, reusable),
+        "refused": sum(r.refused for r in counted) / len(counted),
+        "failed": sum(r.failed for r in counted) / len(counted),
         "unanswered": sum(
-            o.finished_at is None and not o.refused and not o.failed for o in counted
+            r.finished_at is None and not r.refused and not r.failed for r in counted
         ),
         "attempts": fleet.attempts / len(requests),
         "wasted": fleet.wasted_work / max(1.0, fleet.total_work),
