--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -1,4 +1,4 @@
-"""Processor time of one request's decisions and of one token's way."""
+"""Time of the decisions for one request, and of processing one streamed token."""
 
 from collections.abc import Callable
 from gc import collect
@@ -7,7 +7,7 @@
 
 from click import command, option
 
-from benchmarks.figures import Row, find_quantiles, print_table, write_json
+from benchmarks.report import Row, find_percentiles, print_table, write_json
 from bergamotwood_core.admission import AdmissionController, AdmissionSettings
 from bergamotwood_core.clock import Seconds
 from bergamotwood_core.configuration import Version, Workspace
@@ -39,7 +39,7 @@
 CALLS = 5_000
 TOKENS = 20_000
 NOW = Seconds(100.0)
-LATER = Seconds(1_000.0)
+DEADLINE = Seconds(1_000.0)
 SECRET = b"0123456789abcdef"
 WORKSPACE = Workspace(
     name="kubwa",
@@ -49,7 +49,7 @@
 
 
 def make_tables(size: int, spread: bool, rng: Random) -> Tables:
-    """Make a fleet of endpoints, spread over versions and places or all alike."""
+    """Make tables of endpoints, spread over versions and data centres or all alike."""
     tables = Tables()
     configuration = tables.configuration
     configuration.workspaces[WORKSPACE.key] = WORKSPACE
@@ -71,8 +71,8 @@
     return tables
 
 
-class Decisions:
-    """All decisions of one request, over the same tables."""
+class RequestDecisions:
+    """Makes the decisions of one request, always on the same tables."""
 
     def __init__(self, size: int, spread: bool, seed: int) -> None:
         self.rng = Random(seed)
@@ -85,24 +85,24 @@
         self.number = 0
 
     def place(self, **fields: int | SessionId) -> EndpointId:
-        """Choose an endpoint."""
-        need = PlacementRequirements(self.target, DataCentre("dc0"), **fields)
-        chosen = choose_endpoint(self.tables.directory, need, NOW, self.rng)
+        """Choose an endpoint by load, or by the requirements given as fields."""
+        requirements = PlacementRequirements(self.target, DataCentre("dc0"), **fields)
+        chosen = choose_endpoint(self.tables.directory, requirements, NOW, self.rng)
         if chosen is None:
             raise LookupError("no endpoint runs the version")
         return chosen
 
     def place_prefix(self) -> EndpointId:
-        """Choose an endpoint by the prompt's prefix."""
+        """Choose an endpoint for a random prompt prefix."""
         return self.place(prefix_hash=self.rng.getrandbits(64))
 
     def place_after_change(self) -> EndpointId:
-        """Choose an endpoint after a change of membership."""
+        """Choose an endpoint after the set of members has changed."""
         self.tables.directory.membership_version += 1
         return self.place_prefix()
 
     def check(self) -> None:
-        """Check a dispatch."""
+        """Check a dispatch to the first endpoint."""
         self.check_endpoint(EndpointId("endpoint-00000"))
 
     def check_endpoint(self, endpoint: EndpointId) -> None:
@@ -118,27 +118,27 @@
         )
 
     def fingerprint(self) -> None:
-        """Fingerprint a body of 24 kB."""
+        """Compute the fingerprint of a body of 24 kB."""
         fingerprint_request(WORKSPACE.key, "/v1/chat/completions", self.body)
 
     def admit(self) -> None:
         """Admit and release a request."""
         self.number += 1
         request = RequestId(str(self.number))
-        self.admission.offer(request, WORKSPACE, Priority.NORMAL, LATER, NOW)
+        self.admission.offer(request, WORKSPACE, Priority.NORMAL, DEADLINE, NOW)
         self.admission.release(request, NOW)
 
-    def honour_session(self) -> None:
-        """Read a session id."""
+    def decode_session(self) -> None:
+        """Verify and decode a session id."""
         read_session(self.session, SECRET)
 
     def decide(self) -> None:
-        """Make every decision of one request, from session to end."""
-        self.honour_session()
+        """Make every decision of one request, from its session to its release."""
+        self.decode_session()
         self.fingerprint()
         self.number += 1
         request = RequestId(str(self.number))
-        self.admission.offer(request, WORKSPACE, Priority.NORMAL, LATER, NOW)
+        self.admission.offer(request, WORKSPACE, Priority.NORMAL, DEADLINE, NOW)
         endpoint = self.place_prefix()
         self.check_endpoint(endpoint)
         row = self.tables.directory.endpoints[endpoint]
@@ -149,44 +149,44 @@
 
 
 def measure(call: Callable[[], object], calls: int) -> tuple[float, float, float]:
-    """Measure calls: mean, median and 99th percentile in microseconds."""
+    """Measure the mean, median and 99th percentile of a call in microseconds."""
     for _ in range(20):
         call()
     collect()
-    taken = []
+    durations = []
     for _ in range(calls):
         start = perf_counter_ns()
         call()
-        taken.append((perf_counter_ns() - start) / 1_000)
-    p50, _, p99 = find_quantiles(taken)
-    return sum(taken) / len(taken), p50, p99
+        durations.append((perf_counter_ns() - start) / 1_000)
+    p50, _, p99 = find_percentiles(durations)
+    return sum(durations) / len(durations), p50, p99
 
 
 def measure_decisions(size: int, spread: bool, seed: int) -> list[Row]:
-    """Measure each decision at one size of the fleet."""
-    decisions = Decisions(size, spread, seed)
-    parts: dict[str, Callable[[], object]] = {
+    """Measure each decision at one fleet size."""
+    decisions = RequestDecisions(size, spread, seed)
+    operations: dict[str, Callable[[], object]] = {
         "place by load": decisions.place,
         "place by prefix": decisions.place_prefix,
         "place after a change": decisions.place_after_change,
         "check at dispatch": decisions.check,
         "fingerprint of 24 kB": decisions.fingerprint,
         "admit and release": decisions.admit,
-        "read session": decisions.honour_session,
+        "read session": decisions.decode_session,
         "whole decision": decisions.decide,
     }
     rows = []
-    for name, call in parts.items():
+    for name, call in operations.items():
         calls = CALLS // 10 if "change" in name else CALLS
         mean, p50, p99 = measure(call, calls)
-        pools = "spread" if spread else "one pool"
-        head: Row = {"endpoints": size, "fleet": pools, "part": name}
-        rows.append(head | {"mean_us": mean, "p50_us": p50, "p99_us": p99})
+        layout = "spread" if spread else "one pool"
+        labels: Row = {"endpoints": size, "fleet": layout, "part": name}
+        rows.append(labels | {"mean_us": mean, "p50_us": p50, "p99_us": p99})
     return rows
 
 
-class TokenWay:
-    """One token's way: parse the endpoint's event, assemble, encode again."""
+class TokenPath:
+    """Processes tokens: decodes an endpoint's event, assembles and encodes it."""
 
     def __init__(self) -> None:
         self.request = RequestId("i1-42")
@@ -194,13 +194,13 @@
         self.encoder = EventEncoder(self.request, "m0:1")
         self.index = 0
 
-    def pass_token(self) -> None:
-        """Pass one token on."""
+    def process_token(self) -> None:
+        """Process the event of one token."""
         for chunk in self.assembler.accept(_decode_chunk(self.make_event())):
             self.encoder.encode(chunk)
 
     def make_event(self) -> bytes:
-        """Make an endpoint's event; its cost is measured apart."""
+        """Make an endpoint's event, at a cost that is measured separately."""
         event = (
             b'{"id":"i1-42","object":"chat.completion.chunk","created":1,"index":%d,'
             b'"model":"m0:1","choices":[{"index":0,"delta":{"content":" word"},'
@@ -211,10 +211,10 @@
 
 
 def measure_token() -> Row:
-    """Measure the way of a token in microseconds."""
-    way = TokenWay()
-    mean, p50, p99 = measure(way.pass_token, TOKENS)
-    make_mean, make_p50, _ = measure(TokenWay().make_event, TOKENS)
+    """Measure the time to process one token in microseconds."""
+    path = TokenPath()
+    mean, p50, p99 = measure(path.process_token, TOKENS)
+    make_mean, make_p50, _ = measure(TokenPath().make_event, TOKENS)
     return {
         "endpoints": 0,
         "fleet": "any",
--- a/benchmarks/figures.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Tables and JSON files of the benches."""
+"""Tables and JSON files with the results of the benchmarks."""
 
 from collections.abc import Sequence
 from json import dumps
@@ -6,12 +6,12 @@
 
 from numpy import percentile
 
-OUT = Path("out")
+OUTPUT_FOLDER = Path("out")
 
 Row = dict[str, float | int | str]
 
 
-def write_figures(name: str, seed: int, rows: Sequence[Row]) -> None:
+def write_report(name: str, seed: int, rows: Sequence[Row]) -> None:
     """Print rows as a table and write them as JSON with the seed."""
     write_json(name, seed, rows)
     print_table(rows)
@@ -19,13 +19,13 @@
 
 def write_json(name: str, seed: int, rows: Sequence[Row]) -> None:
     """Write rows as JSON with the seed."""
-    OUT.mkdir(exist_ok=True)
+    OUTPUT_FOLDER.mkdir(exist_ok=True)
     text = dumps({"bench": name, "seed": seed, "rows": list(rows)}, indent=1)
-    (OUT / f"{name}.json").write_text(text + "\n")
+    (OUTPUT_FOLDER / f"{name}.json").write_text(text + "\n")
 
 
 def print_table(rows: Sequence[Row]) -> None:
-    """Print rows under the names of their columns."""
+    """Print rows as a right-aligned table with a header."""
     columns = list(rows[0])
     cells = [columns] + [[_format(row[column]) for column in columns] for row in rows]
     widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
@@ -37,8 +37,8 @@
         )
 
 
-def find_quantiles(values: Sequence[float]) -> tuple[float, float, float]:
-    """Find the 50th, 95th and 99th percentile; zeros when there are no values."""
+def find_percentiles(values: Sequence[float]) -> tuple[float, float, float]:
+    """Return the 50th, 95th and 99th percentile, or zeros without values."""
     if not values:
         return 0.0, 0.0, 0.0
     p50, p95, p99 = percentile(values, (50, 95, 99))
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -1,4 +1,4 @@
-"""Streams under silence, breaks, disorder, repeats and late chunks."""
+"""Stream assembly under truncation, reordering, duplicates and late chunks."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -6,15 +6,15 @@
 
 from click import command, option
 
-from benchmarks.figures import Row, write_figures
+from benchmarks.report import Row, write_report
 from bergamotwood_core.errors import EndpointError
 from bergamotwood_core.ids import RequestId
 from bergamotwood_core.stream import Chunk, StreamAssembler, Usage
 
 STREAMS = 2_000
 ATTEMPTS = 3
-SHORTEST, LONGEST = 1, 200
-FAULT_CHANCE = 0.7
+MIN_CHUNKS, MAX_CHUNKS = 1, 200
+FAULT_PROBABILITY = 0.7
 DONE = None
 
 Event = Chunk | None
@@ -22,7 +22,7 @@
 
 
 def make_events(request: RequestId, count: int, start: int) -> list[Event]:
-    """Make the events of an answer from one index on, with the end marker."""
+    """Make the events of an answer from an index on, with the end marker."""
     events: list[Event] = [
         Chunk(request, index, f"{request}/{index} ") for index in range(start, count)
     ]
@@ -33,30 +33,30 @@
     return [*events, DONE]
 
 
-def pass_all(events: list[Event], rng: Random) -> list[Event]:
+def keep_all(events: list[Event], rng: Random) -> list[Event]:
     """Change nothing."""
     return events
 
 
-def cut(events: list[Event], rng: Random) -> list[Event]:
-    """Break off, or fall silent, anywhere."""
+def truncate(events: list[Event], rng: Random) -> list[Event]:
+    """Cut the stream at a random event, like a broken or silent connection."""
     return events[: rng.randrange(len(events))]
 
 
-def cut_marker(events: list[Event], rng: Random) -> list[Event]:
-    """Cut exactly at the end marker."""
+def drop_end_marker(events: list[Event], rng: Random) -> list[Event]:
+    """Drop only the end marker."""
     return events[:-1]
 
 
-def shuffle(events: list[Event], rng: Random) -> list[Event]:
-    """Bring chunks out of order, each by up to 20 places."""
+def reorder(events: list[Event], rng: Random) -> list[Event]:
+    """Reorder chunks, each by up to 20 positions."""
     chunks = [event for event in events if event is not DONE]
     chunks.sort(key=lambda chunk: chunk.index + rng.uniform(0, 20))
     return [*chunks, DONE]
 
 
-def repeat(events: list[Event], rng: Random) -> list[Event]:
-    """Send some chunks again, later."""
+def duplicate(events: list[Event], rng: Random) -> list[Event]:
+    """Repeat a third of the chunks, and reorder all by up to 5 positions."""
     chunks = list(events[:-1])
     for chunk in rng.sample(events[:-1], len(events) // 3):
         chunks.insert(rng.randrange(len(chunks) + 1), chunk)
@@ -64,47 +64,47 @@
     return [*chunks, DONE]
 
 
-def lose(events: list[Event], rng: Random) -> list[Event]:
-    """Lose one chunk on the way."""
+def drop_chunk(events: list[Event], rng: Random) -> list[Event]:
+    """Drop one random chunk."""
     if len(events) < 2:
         return events
     lost = rng.randrange(len(events) - 1)
     return events[:lost] + events[lost + 1 :]
 
 
-def mix(events: list[Event], rng: Random) -> list[Event]:
-    """Slip in a chunk of another request."""
-    place = rng.randrange(len(events))
-    other = Chunk(RequestId("other"), place, "theirs ")
-    return [*events[:place], other, *events[place:]]
+def insert_foreign_chunk(events: list[Event], rng: Random) -> list[Event]:
+    """Insert a chunk of another request."""
+    position = rng.randrange(len(events))
+    other = Chunk(RequestId("other"), position, "theirs ")
+    return [*events[:position], other, *events[position:]]
 
 
-def overrun(events: list[Event], rng: Random) -> list[Event]:
-    """Go on after the end marker."""
+def send_after_end(events: list[Event], rng: Random) -> list[Event]:
+    """Send another chunk after the end marker."""
     first = next(event for event in events if event is not DONE)
     return [*events, Chunk(first.request, first.index + 500, "more ")]
 
 
-def early_marker(events: list[Event], rng: Random) -> list[Event]:
-    """Send the end marker before the end."""
-    place = rng.randrange(len(events))
-    return [*events[:place], DONE]
+def end_early(events: list[Event], rng: Random) -> list[Event]:
+    """Send the end marker in place of a random event and stop."""
+    position = rng.randrange(len(events))
+    return [*events[:position], DONE]
 
 
 FAULTS: dict[str, Fault] = {
-    "none": pass_all,
-    "silent or broken": cut,
-    "cut at marker": cut_marker,
-    "out of order": shuffle,
-    "repeated": repeat,
-    "lost chunk": lose,
-    "foreign chunk": mix,
-    "early marker": early_marker,
-    "after marker": overrun,
+    "none": keep_all,
+    "silent or broken": truncate,
+    "cut at marker": drop_end_marker,
+    "out of order": reorder,
+    "repeated": duplicate,
+    "lost chunk": drop_chunk,
+    "foreign chunk": insert_foreign_chunk,
+    "early marker": end_early,
+    "after marker": send_after_end,
 }
 
 
-class Caller:
+class StreamReader:
     """Reads one answer through the assembler, over several attempts."""
 
     def __init__(self, request: RequestId, count: int, rng: Random) -> None:
@@ -113,11 +113,11 @@
         self.rng = rng
         self.text = ""
         self.attempts = 0
-        self.late: list[Event] = []
+        self.late_events: list[Event] = []
         self.assembler = StreamAssembler(request)
 
     def read(self, fault: Fault) -> str:
-        """Read the answer; whole, error or wrong."""
+        """Read the answer and return "whole", "error" or "wrong"."""
         expected = "".join(f"{self.request}/{index} " for index in range(self.count))
         for _ in range(ATTEMPTS):
             self.attempts += 1
@@ -130,7 +130,7 @@
         return "error" if expected.startswith(self.text) else "wrong"
 
     def _read_attempt(self, fault: Fault) -> None:
-        """Read one attempt, with late chunks of the one before among its own."""
+        """Read one attempt, mixed with late chunks of the previous attempt."""
         done = False
         for attempt, event in self._list_events(fault):
             if event is DONE:
@@ -141,19 +141,22 @@
         self.assembler.finish(done)
 
     def _list_events(self, fault: Fault) -> Iterator[tuple[int, Event]]:
-        """List the events of the attempt and the late ones of the last."""
+        """Yield the attempt's events and late ones of the previous attempt."""
         current = self.assembler.attempt
         events = make_events(self.request, self.count, self.assembler.next_index)
-        faulty = self.rng.random() < FAULT_CHANCE
+        faulty = self.rng.random() < FAULT_PROBABILITY
         sent = fault(events, self.rng) if faulty else events
-        late, self.late = self.late, [e for e in events[-8:] if e is not DONE]
+        late_events, self.late_events = (
+            self.late_events,
+            [e for e in events[-8:] if e is not DONE],
+        )
         for event in sent:
-            if late and self.rng.random() < 0.3:
-                yield current - 1, spoil(late.pop())
+            if late_events and self.rng.random() < 0.3:
+                yield current - 1, replace_content(late_events.pop())
             yield current, event
 
     def _resume(self) -> None:
-        """Go on at the next index on another endpoint."""
+        """Resume at the next index on another endpoint."""
         if self.assembler.complete:
             return
         try:
@@ -162,23 +165,23 @@
             self.attempts = ATTEMPTS
 
 
-def spoil(event: Event) -> Event:
-    """Give a late chunk the words of an endpoint that answered otherwise."""
+def replace_content(event: Event) -> Event:
+    """Replace a late chunk's content, as if the endpoint had answered differently."""
     if event is DONE:
         return event
     return Chunk(event.request, event.index, "late ")
 
 
 def run_fault(name: str, fault: Fault, seed: int) -> Row:
-    """Read many answers under one fault."""
+    """Read `STREAMS` answers under one fault and count the outcomes."""
     rng = Random(f"{seed}/{name}")
     outcomes: Counter[str] = Counter()
     attempts = 0
     for number in range(STREAMS):
-        count = rng.randint(SHORTEST, LONGEST)
-        caller = Caller(RequestId(f"r{number}"), count, rng)
-        outcomes[caller.read(fault)] += 1
-        attempts += caller.attempts
+        count = rng.randint(MIN_CHUNKS, MAX_CHUNKS)
+        reader = StreamReader(RequestId(f"r{number}"), count, rng)
+        outcomes[reader.read(fault)] += 1
+        attempts += reader.attempts
     return {
         "fault": name,
         "streams": STREAMS,
@@ -194,7 +197,7 @@
 def main(seed: int) -> None:
     """Run every fault; seven attempts in ten are faulty."""
     print(f"seed {seed}")
-    write_figures("streams", seed, [run_fault(n, f, seed) for n, f in FAULTS.items()])
+    write_report("streams", seed, [run_fault(n, f, seed) for n, f in FAULTS.items()])
 
 
 if __name__ == "__main__":
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -1,4 +1,4 @@
-"""Workloads of both fleets: classes, versions and how their quality moves."""
+"""Workloads of both users' fleets: classes, versions and quality drift."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Drift(StrEnum):
-    """How the versions' chances move."""
+    """How the versions' probabilities of a good answer change during a run."""
 
     STEADY = "steady"
     DRIFT = "drift"
@@ -18,7 +18,7 @@
 
 
 class Ratings(StrEnum):
-    """How good and how many ratings are."""
+    """Scenarios of the number, delay and noise of the ratings."""
 
     ENOUGH = "enough"
     ONE = "one"
@@ -29,15 +29,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RatingTerms:
+class RatingSettings:
     """Limit, delay and noise of the rating service.
 
     Parameters
     ----------
     per_request : float
-        Ratings that may be asked for, for each request.
+        Maximum number of ratings per request, on average.
     delay_seconds : float
-        Time until a sampled rating is known.
+        Time until the score of a sampled answer is available.
     precision : float
         Concentration of a score around the true quality; higher is less noisy.
     """
@@ -47,13 +47,13 @@
     precision: float
 
 
-RATING_TERMS = {
-    Ratings.ENOUGH: RatingTerms(2.0, 5.0, 8.0),
-    Ratings.ONE: RatingTerms(1.0, 5.0, 8.0),
-    Ratings.LIMITED: RatingTerms(0.2, 5.0, 8.0),
-    Ratings.SCARCE: RatingTerms(0.05, 5.0, 8.0),
-    Ratings.DELAYED: RatingTerms(2.0, 120.0, 8.0),
-    Ratings.NOISY: RatingTerms(2.0, 5.0, 3.0),
+RATING_SETTINGS = {
+    Ratings.ENOUGH: RatingSettings(2.0, 5.0, 8.0),
+    Ratings.ONE: RatingSettings(1.0, 5.0, 8.0),
+    Ratings.LIMITED: RatingSettings(0.2, 5.0, 8.0),
+    Ratings.SCARCE: RatingSettings(0.05, 5.0, 8.0),
+    Ratings.DELAYED: RatingSettings(2.0, 120.0, 8.0),
+    Ratings.NOISY: RatingSettings(2.0, 5.0, 3.0),
 }
 
 
@@ -70,31 +70,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassTraits:
-    """A kind of request and each version's chance of a good answer."""
+    """A class of requests, and each version's probability of a good answer."""
 
     name: str
     share: float
     prompt_tokens: int
     output_tokens: int
-    chances: tuple[float, ...]
+    probabilities: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """The requests of one workspace.
+    """Requests of one workspace and the versions that answer them.
 
     Parameters
     ----------
     name : str
-        Fleet and size.
+        Fleet and number of versions.
     versions, classes : tuple
-        What answers and what is asked.
+        Versions that answer, and classes of requests.
     target : float
-        Mean quality wanted.
+        Target of the mean quality.
     latency_weight : float
-        Cost units for each second to the first token.
+        Cost units per second until the first token.
     requests_per_second : float
-        Arrival rate.
+        Mean arrival rate.
     """
 
     name: str
@@ -162,44 +162,47 @@
 )
 WORKLOADS = {w.name: w for w in (KUBWA_THREE, KUBWA_FIVE, COLOFN_FOUR, COLOFN_SIX)}
 
-# Mean quality of a good and of a poor answer, and the spread of both.
+# Mean quality of good and of poor answers, and the precision of their distributions.
 GOOD_QUALITY = 0.93
 POOR_QUALITY = 0.35
 GOOD_PRECISION = 40.0
 POOR_PRECISION = 10.0
-# Share of a request's difficulty that all versions feel alike.
+# Share of the variance in a request's difficulty that is common to all versions.
 SHARED_DIFFICULTY = 0.3
-# Standard deviation of the logit's slow swing, and swings over a run.
-DRIFT_SIZE = 0.8
-DRIFT_SWINGS = 2.0
-# Part of a run in which one version is bad, and what is left of its chances.
-BAD_FROM = 0.4
-BAD_UNTIL = 0.7
+# Amplitude of the logit's sine drift, and its periods in a run.
+DRIFT_LOGIT_AMPLITUDE = 0.8
+DRIFT_CYCLES = 2.0
+# Fractions of a run between which one version is bad, and the factor on its
+# probabilities meanwhile.
+BAD_START = 0.4
+BAD_END = 0.7
 BAD_FACTOR = 0.4
 
 
-def move_chances(
+def draw_probabilities(
     workload: Workload, drift: Drift, count: int, rng: np.random.Generator
 ) -> Floats:
-    """Make each version's chances over a run, by request, class and version."""
-    base = np.array([traits.chances for traits in workload.classes])
-    chances = np.broadcast_to(base, (count, *base.shape)).copy()
+    """Draw the probabilities of good answers by request, class and version."""
+    base = np.array([traits.probabilities for traits in workload.classes])
+    probabilities = np.broadcast_to(base, (count, *base.shape)).copy()
     times = np.arange(count) / count
     match drift:
         case Drift.DRIFT:
             phases = rng.uniform(0.0, 2.0 * np.pi, base.shape)
-            angles = 2.0 * np.pi * DRIFT_SWINGS * times[:, None, None] + phases
-            logits = np.log(chances / (1.0 - chances)) + DRIFT_SIZE * np.sin(angles)
-            chances = 1.0 / (1.0 + np.exp(-logits))
+            angles = 2.0 * np.pi * DRIFT_CYCLES * times[:, None, None] + phases
+            logits = np.log(
+                probabilities / (1.0 - probabilities)
+            ) + DRIFT_LOGIT_AMPLITUDE * np.sin(angles)
+            probabilities = 1.0 / (1.0 + np.exp(-logits))
         case Drift.TURN_BAD:
-            bad = (times >= BAD_FROM) & (times < BAD_UNTIL)
+            bad = (times >= BAD_START) & (times < BAD_END)
             version = rng.integers(0, base.shape[1] - 1)
-            chances[bad, :, version] *= BAD_FACTOR
+            probabilities[bad, :, version] *= BAD_FACTOR
         case Drift.STEADY:
             pass
-    return chances
+    return probabilities
 
 
-def scale(workload: Workload, **changes: float) -> Workload:
+def change_workload(workload: Workload, **changes: float) -> Workload:
     """Copy a workload with some traits changed."""
     return replace(workload, **changes)
