--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -126,9 +126,9 @@
     """Make an entry's status report."""
     address = Address("10.0.0.2", 8_000)
     centre = f"centre-{number % DATA_CENTRES}"
-    id = InstanceId(f"entry-{number}")
+    instance = InstanceId(f"entry-{number}")
     return EntryReport(
-        id, 1_796_333_475_512_430, sequence, address, centre, in_flight=10
+        instance, 1_796_333_475_512_430, sequence, address, centre, in_flight=10
     )
 
 
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -130,7 +130,7 @@
         self.simulation.schedule(down_seconds, self._restart)
         return lost
 
-    def silence(self, timeout: float) -> None:
+    def silence(self, timeout_seconds: float) -> None:
         """Stop sending tokens; answers that have begun fail after a timeout."""
         self.health = EngineHealth.SILENT
         for job in self.running:
@@ -138,7 +138,7 @@
                 job.first_token_at is not None
                 and job.first_token_at <= self.simulation.now
             ):
-                self.simulation.schedule(timeout, job.on_fail)
+                self.simulation.schedule(timeout_seconds, job.on_fail)
 
     def _restart(self) -> None:
         self.health = EngineHealth.GOOD
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -39,8 +39,8 @@
 # stage; the stage is drawn uniformly.
 REGRESSION_REQUESTS = 50
 # Second at which the leader is lost, and seconds until the next one leads.
-LEADER_LOST_AT = 300.0
-LEADER_LOST_SECONDS = 15.0
+LEADER_LOST_AT_SECONDS = 300.0
+LEADERLESS_SECONDS = 15.0
 # Time from a canary's last request until its stop applies, as in the roll-outs.
 CANARY_DELAY_SECONDS = ANSWER_SECONDS + RATING_SECONDS + 5.0 + PROPAGATION_SECONDS
 DRAWS = 200_000
@@ -152,12 +152,12 @@
     def __init__(self, behaviour: Behaviour, rng: np.random.Generator) -> None:
         self.behaviour = behaviour
         times = behaviour.first_token_seconds * rng.lognormal(0.0, 0.4, DRAWS)
-        places = np.searchsorted(LATENCY_BOUNDS, times)
+        latency_indexes = np.searchsorted(LATENCY_BOUNDS, times)
         size = len(LATENCY_BOUNDS) + 1
-        self.latencies = np.bincount(places, minlength=size) / DRAWS
+        self.latencies = np.bincount(latency_indexes, minlength=size) / DRAWS
         scores = draw_scores(behaviour, DRAWS, rng)
-        indexes = np.minimum((scores * SCORE_BINS).astype(int), SCORE_BINS - 1)
-        self.scores = np.bincount(indexes, minlength=SCORE_BINS) / DRAWS
+        score_indexes = np.minimum((scores * SCORE_BINS).astype(int), SCORE_BINS - 1)
+        self.scores = np.bincount(score_indexes, minlength=SCORE_BINS) / DRAWS
 
 
 def draw_scores(behaviour: Behaviour, count: int, rng: np.random.Generator) -> Floats:
@@ -304,8 +304,8 @@
         self.reports.append((now + self.setting.report_seconds, reports))
 
     def _evaluate(self, now: float) -> None:
-        leaderless = now - LEADER_LOST_AT
-        if self.setting.lose_leader and 0.0 <= leaderless < LEADER_LOST_SECONDS:
+        since_loss = now - LEADER_LOST_AT_SECONDS
+        if self.setting.lose_leader and 0.0 <= since_loss < LEADERLESS_SECONDS:
             self.monitors = {}
             return
         changes = advance_rollouts(
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -12,7 +12,7 @@
 from bergamotwood_core.stream import Chunk, StreamAssembler, Usage
 
 STREAMS = 2_000
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 MIN_CHUNKS, MAX_CHUNKS = 1, 200
 FAULT_PROBABILITY = 0.7
 DONE = None
@@ -119,7 +119,7 @@
     def read(self, fault: Fault) -> str:
         """Read the answer and return "whole", "error" or "wrong"."""
         expected = "".join(f"{self.request}/{index} " for index in range(self.count))
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             self.attempts += 1
             try:
                 self._read_attempt(fault)
@@ -162,7 +162,7 @@
         try:
             self.assembler.resume()
         except EndpointError:
-            self.attempts = ATTEMPTS
+            self.attempts = MAX_ATTEMPTS
 
 
 def replace_content(event: Event) -> Event:
--- a/benchmarks/ticket.py
+++ b/benchmarks/ticket.py
@@ -34,8 +34,8 @@
     ]
     for first in range(0, workspaces, WORKSPACES_PER_TICKET):
         numbers = range(first, min(first + WORKSPACES_PER_TICKET, workspaces))
-        named = [_make_workspace(number, versions) for number in numbers]
-        tickets.append({"workspaces": named})
+        batch = [_make_workspace(number, versions) for number in numbers]
+        tickets.append({"workspaces": batch})
     return tickets
 
 
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -110,5 +110,5 @@
 
 def hash_prefix(kind: RequestKind, number: int) -> int:
     """Return a hash for a prefix that is the same in every run."""
-    seed = Random(f"{kind.name}/{number}")
-    return seed.getrandbits(64)
+    rng = Random(f"{kind.name}/{number}")
+    return rng.getrandbits(64)
