--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -25,7 +25,7 @@
 @group(invoke_without_command=True)
 @pass_context
 def main(context: Context) -> None:
-    """Run one bench, or all of them with `--short`."""
+    """Run the named benchmark; without a name, all, in short form if they have one."""
     if context.invoked_subcommand is not None:
         return
     for name, command in find_benches().items():
--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -351,6 +351,7 @@
         self._record_outcome("failed", is_good=False)
 
     def _record_outcome(self, outcome: str, is_good: bool) -> None:
+        """Count the outcome; late answers earn 30 % of the value, poor ones 5 %."""
         self.site_run.open_requests.discard(self)
         if not self.is_measured:
             return
--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -109,6 +109,7 @@
     )
 
 
+# Due time, number, policy, estimate, score, and the score that accepted the answer.
 PendingRating = tuple[float, int, CascadePolicy, EstimateKey, float, float | None]
 
 
@@ -405,7 +406,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """Results of every policy in one run."""
+    """Results of every policy in one run.
+
+    `cheapest` and `dearest` are the first and the last version alone; `best_fixed` is
+    the cheapest fixed cascade that missed the target in no window.
+    """
 
     workload: str
     drift: str
@@ -500,7 +505,7 @@
 @command()
 @option("--workload", "names", multiple=True, help="Workloads; all by default.")
 @option("--drift", "drifts", multiple=True, type=Drift, help="Drifts.")
-@option("--ratings", "kinds", multiple=True, type=Ratings, help="Rating terms.")
+@option("--ratings", "kinds", multiple=True, type=Ratings, help="Rating scenarios.")
 @option("--requests", default=10_000, help="Requests in one run.")
 @option("--entries", default=1, help="Entries that share the traffic.")
 @option("--seeds", default=5, help="Seeds, from --seed up.")
--- a/benchmarks/clairvoyant.py
+++ b/benchmarks/clairvoyant.py
@@ -108,6 +108,8 @@
     traits = workload.classes[index]
     qualities = draw_qualities(np.tile(probabilities, (DRAWS, 1)), rng)
     scores = draw_scores(qualities, rating_settings, rng)
+    # exp(0.045) is the mean of the lognormal factors on tokens and times, whose
+    # LOGNORMAL_SIGMA is 0.3.
     prices = [
         (v.input_price * traits.prompt_tokens + v.output_price * traits.output_tokens)
         * np.exp(0.045)
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -33,6 +33,7 @@
 from bergamotwood_daemon.answer import _decode_chunk
 from bergamotwood_daemon.completion import EventEncoder
 
+# Numbers of endpoints.
 SIZES = (15, 200, 1_600)
 VERSIONS = 11
 DATA_CENTRES = 9
@@ -49,7 +50,11 @@
 
 
 def make_tables(size: int, spread: bool, rng: Random) -> Tables:
-    """Make tables of endpoints, spread over versions and data centres or all alike."""
+    """Make tables of endpoints.
+
+    They are spread over the versions and data centres, or all run one version in one
+    data centre.
+    """
     tables = Tables()
     configuration = tables.configuration
     configuration.workspaces[WORKSPACE.key] = WORKSPACE
@@ -211,7 +216,11 @@
 
 
 def measure_token() -> Row:
-    """Measure the time to process one token in microseconds."""
+    """Measure the time to process one token in microseconds.
+
+    The mean and the median exclude the time to make the event; the 99th percentile
+    includes it.
+    """
     path = TokenPath()
     mean, p50, p99 = measure(path.process_token, TOKENS)
     make_mean, make_p50, _ = measure(TokenPath().make_event, TOKENS)
@@ -228,7 +237,7 @@
 @command()
 @option("--seed", default=11, show_default=True)
 def main(seed: int) -> None:
-    """Measure decisions at all sizes, and a token's way."""
+    """Measure decisions at all sizes, and the processing of one token."""
     rows = [
         row
         for spread in (True, False)
--- a/benchmarks/deployment.py
+++ b/benchmarks/deployment.py
@@ -10,9 +10,25 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """One kind of request; lengths are lognormal with a given mean.
+    """One kind of request; lengths are lognormal, up to a cap.
 
-    Times are in seconds, `rate` is in requests per second.
+    Parameters
+    ----------
+    rate : float
+        Requests per second.
+    events, events_spread : float
+        Mean number of events of an answer, and standard deviation of its logarithm.
+    own_tokens, shared_tokens : float
+        Mean tokens of the prompt's own part and of its shared prefix.
+    shared_prefixes : int
+        Number of different shared prefixes.
+    objective, event_gap : float
+        Maximum seconds until the first event and between two events; an answer that
+        exceeds one of them is late.
+    deadline : float
+        Seconds after which an unfinished request fails.
+    value : float
+        Value of a good answer in time to a prompt of mean length.
     """
 
     name: str
@@ -49,7 +65,8 @@
     """Make a site.
 
     `step` holds the fixed time of an engine's step in ms, the time added for each
-    decoding request in ms, and the prefill rate in tokens per ms.
+    decoding request in ms, and the prefill rate in tokens per ms; `memory` is the
+    engine's memory in tokens.
     """
     base, slot, rate = step
     settings = BatchingSettings(
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -131,7 +131,7 @@
         return lost
 
     def silence(self, timeout_seconds: float) -> None:
-        """Stop sending tokens; answers that have begun fail after a timeout."""
+        """Stop sending tokens; answers that have begun fail after the timeout."""
         self.health = EngineHealth.SILENT
         for job in self.running:
             if (
@@ -177,6 +177,7 @@
     def _finish(self, job: Job) -> None:
         if job.is_closed or self.health is EngineHealth.SILENT:
             return
+        # Prefills since this end was scheduled have delayed the job.
         if job.stall_seconds < self.stall_seconds:
             delay, job.stall_seconds = (
                 self.stall_seconds - job.stall_seconds,
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -71,6 +71,10 @@
         Factor on the engines' slots when the admission limit is computed.
     silence_seconds : float
         Maximum time that an attempt waits for its first token.
+    engine : EngineSettings
+        Speed and size of each engine.
+    limits : AdmissionSettings
+        Settings of the entries' admission control.
     """
 
     engines: int = 10
@@ -109,7 +113,7 @@
     Parameters
     ----------
     settings : FleetSettings
-        Sizes and faults.
+        Sizes, lag and loss of load reports, and limits.
     choose : callable
         Placement policy under test.
     seed : int
--- a/benchmarks/generation.py
+++ b/benchmarks/generation.py
@@ -116,10 +116,14 @@
 @option("--site", default="kubwa", help=f"One of {', '.join(SITES)}.")
 @option("--seeds", default=3, help="Number of seeds.")
 @option("--seconds", default=30.0, help="Seconds of traffic.")
-@option("--load", default=1.0, help="Requests, as a part of the site's.")
-@option("--replaced", default=0.35, help="Part of the engines replaced halfway.")
-@option("--restarted", default=0.0, help="When all entries restart, in seconds.")
-@option("--policy", "policies", multiple=True, help="Only these.")
+@option("--load", default=1.0, help="Factor on the site's request rates.")
+@option(
+    "--replaced", default=0.35, help="Share of the engines that are replaced halfway."
+)
+@option(
+    "--restarted", default=0.0, help="Second at which all entries restart; 0 for never."
+)
+@option("--policy", "policies", multiple=True, help="Policies to run; all by default.")
 @option("--short", is_flag=True, help="One seed, 12 s.")
 def main(
     site: str,
@@ -131,7 +135,7 @@
     policies: tuple[str, ...],
     short: bool,
 ) -> None:
-    """Compare policies on a site's streams."""
+    """Compare policies on the streaming requests of a site."""
     if short:
         seeds, seconds = 1, 12.0
     rows = []
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -24,6 +24,7 @@
     encode_command,
 )
 
+# Numbers of stored idempotency keys.
 SIZES = (1_000, 5_000, 20_000)
 SHORT_SIZES = (500, 1_000, 2_000)
 COMMANDS = 2_000
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -23,6 +23,7 @@
 MAX_RESENDS = 3
 HEDGE_CALLS = 40_000
 HEDGE_SERVERS = 10
+# Share of the servers' capacity that the calls use.
 HEDGE_LOAD = 0.3
 CALL_SECONDS = 0.03
 STRAGGLER_SHARE = 0.02
@@ -33,7 +34,10 @@
 
 
 def run_flood(seed: int, capacity: float, fair: bool) -> list[Row]:
-    """Overload with one workspace while another requests a fifth of the capacity."""
+    """Overload with one workspace while another requests a fifth of the capacity.
+
+    Unless `fair` is set, both count as one workspace for admission control.
+    """
     names = {name: name if fair else "all" for name in ("kubwa", "colofn")}
     workspaces = {
         name: Workspace(name=key, max_in_flight=10_000) for name, key in names.items()
@@ -97,7 +101,7 @@
 
 
 def run_outage(seed: int, capacity: float, admission: bool, budget: bool) -> Row:
-    """Crash half of the engines for a minute while callers resend failed requests."""
+    """Crash half of the engines for a minute; callers resend unsuccessful requests."""
     fleet = Fleet(FleetSettings(admission=admission), choose_endpoint, seed, WORKSPACES)
     if not budget:
         for entry in fleet.entries:
@@ -125,7 +129,7 @@
 
 
 def make_resend(request: OfferedRequest, at: float) -> OfferedRequest:
-    """Make the repeat of a request whose caller sends it again."""
+    """Make the request that a caller sends again after a failure or refusal."""
     return replace(
         request,
         arrived_at=at,
@@ -140,7 +144,7 @@
 def summarize_outage(
     fleet: Fleet, requests: list[OfferedRequest], resent: list[OfferedRequest]
 ) -> Row:
-    """Summarize the goodput before, during and after an outage."""
+    """Summarize goodput before, during and after an outage, retries and wasted work."""
     all_requests = [*requests, *resent]
     end = OUTAGE_START_SECONDS + OUTAGE_SECONDS
 
@@ -204,7 +208,7 @@
 @command()
 @option("--seed", default=11, show_default=True)
 def main(seed: int) -> None:
-    """Run all parts and write their figures."""
+    """Run all experiments and write their results."""
     capacity = find_capacity(FleetSettings(), seed)
     print(f"seed {seed}, capacity {capacity:.2f} requests/s")
     flood = [row for fair in (False, True) for row in run_flood(seed, capacity, fair)]
--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -141,7 +141,7 @@
 
 
 def measure_sync(folder: Path, count: int = 200) -> Row:
-    """Measure the disk alone: sequential synced writes of small records."""
+    """Measure the disk alone: sequential synced writes of single log entries."""
     journal = Journal(folder / "sync", ReplicaId("sync"))
     times = []
     for index in range(count):
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -71,7 +71,7 @@
     now: Seconds,
     rng: Random,
 ) -> EndpointId | None:
-    """Choose, of two random endpoints, the one with the less reported load."""
+    """Choose, of two random endpoints, the one with the lower reported load."""
     candidates = list_candidates(tables, requirements)
     sampled = rng.sample(candidates, min(2, len(candidates)))
     rows = tables.endpoints
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -31,6 +31,7 @@
 RUN_SECONDS = 600.0
 DRAIN_SECONDS = 120.0
 POISON_SHARE = 0.001
+# Share of the harmless requests that all have the same fingerprint.
 COMMON_SHARE = 0.05
 SERVICE_SECONDS = 4.0
 CRASH_DELAY_SECONDS = 0.3
@@ -38,6 +39,7 @@
 COMMIT_SECONDS = 0.01
 RESENDS = 5
 RESEND_SECONDS = 0.2
+# Share of the poison requests that the caller sends twice.
 DUPLICATE_SHARE = 0.3
 MAX_ATTEMPTS = 6
 
@@ -339,7 +341,7 @@
         self._schedule_resend(call)
 
     def _schedule_resend(self, call: Call) -> None:
-        """Let the caller of a failed request send it again if resends are left."""
+        """Let the caller resend a failed or refused request if resends are left."""
         if not call.resends:
             return
         self.simulation.schedule(
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -12,13 +12,13 @@
 
 
 def write_report(name: str, seed: int, rows: Sequence[Row]) -> None:
-    """Print rows as a table and write them as JSON with the seed."""
+    """Print rows as a table and write them with the seed to `out/<name>.json`."""
     write_json(name, seed, rows)
     print_table(rows)
 
 
 def write_json(name: str, seed: int, rows: Sequence[Row]) -> None:
-    """Write rows as JSON with the seed."""
+    """Write rows with the seed to `out/<name>.json`."""
     OUTPUT_FOLDER.mkdir(exist_ok=True)
     text = dumps({"bench": name, "seed": seed, "rows": list(rows)}, indent=1)
     (OUTPUT_FOLDER / f"{name}.json").write_text(text + "\n")
@@ -38,7 +38,7 @@
 
 
 def find_percentiles(values: Sequence[float]) -> tuple[float, float, float]:
-    """Return the 50th, 95th and 99th percentile, or zeros without values."""
+    """Return the 50th, 95th and 99th percentile, or zeros if there are no values."""
     if not values:
         return 0.0, 0.0, 0.0
     p50, p95, p99 = percentile(values, (50, 95, 99))
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,4 +1,4 @@
-"""Exposure, false stops and time of roll-outs against fixed-step canaries."""
+"""Exposure to bad versions, false stops and time: roll-outs against canaries."""
 
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
@@ -35,8 +35,8 @@
 CANDIDATE_RATED = 0.5
 RATING_SECONDS = 10.0
 ANSWER_SECONDS = 5.0
-# A version that turns bad does so within this many of the candidate's requests of a
-# stage; the stage is drawn uniformly.
+# A version that turns bad does so within this many requests on the candidate in one
+# stage; the stage and the request are drawn uniformly.
 REGRESSION_REQUESTS = 50
 # Second at which the leader is lost, and seconds until the next one leads.
 LEADER_LOST_AT_SECONDS = 300.0
@@ -162,6 +162,7 @@
 
 def draw_scores(behaviour: Behaviour, count: int, rng: np.random.Generator) -> Floats:
     """Draw ratings of a behaviour's answers, a mixture of good and poor ones."""
+    # Good answers have a mean of 0.93, poor ones of 0.35, as in `benchmarks.workloads`.
     good = rng.random(count) < (behaviour.quality - 0.35) / (0.93 - 0.35)
     means = np.where(good, 0.93, 0.35)
     return rng.beta(means * 8.0, (1.0 - means) * 8.0)
@@ -373,7 +374,7 @@
     bad_after: int
 
     def count_exposed(self, limit: float) -> tuple[bool, float]:
-        """Return whether a z limit stops the canary, and its bad requests."""
+        """Return whether a z limit stops the canary, and its requests while bad."""
         exposed = 0.0
         for stage, statistic in enumerate(self.statistics):
             delayed = STAGES[stage] * REQUESTS_PER_SECOND * CANARY_DELAY_SECONDS
@@ -449,7 +450,7 @@
     runs: int,
     rng: np.random.Generator,
 ) -> float:
-    """Find the z limit at which a good candidate is stopped at a given rate."""
+    """Find the z limit that stops a given share of the canaries of a good candidate."""
     maxima = [
         max(run_canary(TRIALS[0], step, bins, rng).statistics) for _ in range(runs)
     ]
@@ -540,7 +541,7 @@
     mean_exposed: dict[str, float],
     rng: np.random.Generator,
 ) -> list[dict[str, object]]:
-    """Print and return the exposure and misses of canaries of several step sizes."""
+    """Print and return exposure and missed bad candidates for several step sizes."""
     echo(f"{'step':>6}{'candidate':>16}{'missed':>8}{'exposed':>9}{'ours/it':>9}")
     rows: list[dict[str, object]] = []
     for step in (50, 100, 200, 400):
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -15,6 +15,7 @@
 MAX_ATTEMPTS = 3
 MIN_CHUNKS, MAX_CHUNKS = 1, 200
 FAULT_PROBABILITY = 0.7
+# The end marker of a stream.
 DONE = None
 
 Event = Chunk | None
--- a/benchmarks/ticket.py
+++ b/benchmarks/ticket.py
@@ -49,7 +49,7 @@
     milliseconds = (perf_counter() - started) * MILLISECONDS
     decoded = decode_answer(answer)
     if decoded.outcome is not TicketOutcome.ACCEPTED:
-        raise RuntimeError(f"refused: {decoded}")
+        raise RuntimeError(f"ticket refused: {decoded}")
     return milliseconds
 
 
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -39,7 +39,8 @@
     delay_seconds : float
         Time until the score of a sampled answer is available.
     precision : float
-        Concentration of a score around the true quality; higher is less noisy.
+        Sum of the parameters of a score's beta distribution, whose mean is the true
+        quality; higher is less noisy.
     """
 
     per_request: float
@@ -162,18 +163,20 @@
 )
 WORKLOADS = {w.name: w for w in (KUBWA_THREE, KUBWA_FIVE, COLOFN_FOUR, COLOFN_SIX)}
 
-# Mean quality of good and of poor answers, and the precision of their distributions.
+# Means of the quality of good and of poor answers, and the precisions (sums of the
+# parameters) of their beta distributions.
 GOOD_QUALITY = 0.93
 POOR_QUALITY = 0.35
 GOOD_PRECISION = 40.0
 POOR_PRECISION = 10.0
 # Share of the variance in a request's difficulty that is common to all versions.
 SHARED_DIFFICULTY = 0.3
-# Amplitude of the logit's sine drift, and its periods in a run.
+# Amplitude of the sine that is added to the logits of the probabilities in a drifting
+# run, and its number of periods in the run.
 DRIFT_LOGIT_AMPLITUDE = 0.8
 DRIFT_CYCLES = 2.0
-# Fractions of a run between which one version is bad, and the factor on its
-# probabilities meanwhile.
+# Fractions of a run between which one version, never the last, is bad, and the factor
+# on its probabilities meanwhile.
 BAD_START = 0.4
 BAD_END = 0.7
 BAD_FACTOR = 0.4
