--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -130,15 +130,15 @@
         self.simulation.schedule(down_seconds, self._restart)
         return lost
 
-    def silence(self, timeout: float) -> None:
-        """Stop sending tokens; answers that have begun fail after a timeout."""
+    def silence(self, timeout_seconds: float) -> None:
+        """Stop sending tokens; answers that have begun fail after the timeout."""
         self.health = EngineHealth.SILENT
         for job in self.running:
             if (
                 job.first_token_at is not None
                 and job.first_token_at <= self.simulation.now
             ):
-                self.simulation.schedule(timeout, job.on_fail)
+                self.simulation.schedule(timeout_seconds, job.on_fail)
 
     def _restart(self) -> None:
         self.health = EngineHealth.GOOD
@@ -177,6 +177,7 @@
     def _finish(self, job: Job) -> None:
         if job.is_closed or self.health is EngineHealth.SILENT:
             return
+        # Prefills since this end was scheduled have delayed the job.
         if job.stall_seconds < self.stall_seconds:
             delay, job.stall_seconds = (
                 self.stall_seconds - job.stall_seconds,
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,4 +1,4 @@
-"""Exposure, false stops and time of roll-outs against fixed-step canaries."""
+"""Exposure to bad versions, false stops and time: roll-outs against canaries."""
 
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
@@ -35,12 +35,12 @@
 CANDIDATE_RATED = 0.5
 RATING_SECONDS = 10.0
 ANSWER_SECONDS = 5.0
-# A version that turns bad does so within this many of the candidate's requests of a
-# stage; the stage is drawn uniformly.
+# A version that turns bad does so within this many requests on the candidate in one
+# stage; the stage and the request are drawn uniformly.
 REGRESSION_REQUESTS = 50
 # Second at which the leader is lost, and seconds until the next one leads.
-LEADER_LOST_AT = 300.0
-LEADER_LOST_SECONDS = 15.0
+LEADER_LOST_AT_SECONDS = 300.0
+LEADERLESS_SECONDS = 15.0
 # Time from a canary's last request until its stop applies, as in the roll-outs.
 CANARY_DELAY_SECONDS = ANSWER_SECONDS + RATING_SECONDS + 5.0 + PROPAGATION_SECONDS
 DRAWS = 200_000
@@ -152,16 +152,17 @@
     def __init__(self, behaviour: Behaviour, rng: np.random.Generator) -> None:
         self.behaviour = behaviour
         times = behaviour.first_token_seconds * rng.lognormal(0.0, 0.4, DRAWS)
-        places = np.searchsorted(LATENCY_BOUNDS, times)
+        latency_indexes = np.searchsorted(LATENCY_BOUNDS, times)
         size = len(LATENCY_BOUNDS) + 1
-        self.latencies = np.bincount(places, minlength=size) / DRAWS
+        self.latencies = np.bincount(latency_indexes, minlength=size) / DRAWS
         scores = draw_scores(behaviour, DRAWS, rng)
-        indexes = np.minimum((scores * SCORE_BINS).astype(int), SCORE_BINS - 1)
-        self.scores = np.bincount(indexes, minlength=SCORE_BINS) / DRAWS
+        score_indexes = np.minimum((scores * SCORE_BINS).astype(int), SCORE_BINS - 1)
+        self.scores = np.bincount(score_indexes, minlength=SCORE_BINS) / DRAWS
 
 
 def draw_scores(behaviour: Behaviour, count: int, rng: np.random.Generator) -> Floats:
     """Draw ratings of a behaviour's answers, a mixture of good and poor ones."""
+    # Good answers have a mean of 0.93, poor ones of 0.35, as in `benchmarks.workloads`.
     good = rng.random(count) < (behaviour.quality - 0.35) / (0.93 - 0.35)
     means = np.where(good, 0.93, 0.35)
     return rng.beta(means * 8.0, (1.0 - means) * 8.0)
@@ -304,8 +305,8 @@
         self.reports.append((now + self.setting.report_seconds, reports))
 
     def _evaluate(self, now: float) -> None:
-        leaderless = now - LEADER_LOST_AT
-        if self.setting.lose_leader and 0.0 <= leaderless < LEADER_LOST_SECONDS:
+        since_loss = now - LEADER_LOST_AT_SECONDS
+        if self.setting.lose_leader and 0.0 <= since_loss < LEADERLESS_SECONDS:
             self.monitors = {}
             return
         changes = advance_rollouts(
@@ -373,7 +374,7 @@
     bad_after: int
 
     def count_exposed(self, limit: float) -> tuple[bool, float]:
-        """Return whether a z limit stops the canary, and its bad requests."""
+        """Return whether a z limit stops the canary, and its requests while bad."""
         exposed = 0.0
         for stage, statistic in enumerate(self.statistics):
             delayed = STAGES[stage] * REQUESTS_PER_SECOND * CANARY_DELAY_SECONDS
@@ -449,7 +450,7 @@
     runs: int,
     rng: np.random.Generator,
 ) -> float:
-    """Find the z limit at which a good candidate is stopped at a given rate."""
+    """Find the z limit that stops a given share of the canaries of a good candidate."""
     maxima = [
         max(run_canary(TRIALS[0], step, bins, rng).statistics) for _ in range(runs)
     ]
@@ -540,7 +541,7 @@
     mean_exposed: dict[str, float],
     rng: np.random.Generator,
 ) -> list[dict[str, object]]:
-    """Print and return the exposure and misses of canaries of several step sizes."""
+    """Print and return exposure and missed bad candidates for several step sizes."""
     echo(f"{'step':>6}{'candidate':>16}{'missed':>8}{'exposed':>9}{'ours/it':>9}")
     rows: list[dict[str, object]] = []
     for step in (50, 100, 200, 400):
--- a/benchmarks/ticket.py
+++ b/benchmarks/ticket.py
@@ -34,8 +34,8 @@
     ]
     for first in range(0, workspaces, WORKSPACES_PER_TICKET):
         numbers = range(first, min(first + WORKSPACES_PER_TICKET, workspaces))
-        named = [_make_workspace(number, versions) for number in numbers]
-        tickets.append({"workspaces": named})
+        batch = [_make_workspace(number, versions) for number in numbers]
+        tickets.append({"workspaces": batch})
     return tickets
 
 
@@ -49,7 +49,7 @@
     milliseconds = (perf_counter() - started) * MILLISECONDS
     decoded = decode_answer(answer)
     if decoded.outcome is not TicketOutcome.ACCEPTED:
-        raise RuntimeError(f"refused: {decoded}")
+        raise RuntimeError(f"ticket refused: {decoded}")
     return milliseconds
 
 
