--- a/packages/fakes/src/bergamotwood_fakes/answer.py
+++ b/packages/fakes/src/bergamotwood_fakes/answer.py
@@ -72,7 +72,7 @@
 
 
 def make_answer(
-    version: str, messages: list[dict], quality: float, limit: int | None = None
+    version: str, messages: list[dict], quality: float, token_count: int | None = None
 ) -> list[str]:
     """Make the tokens of an answer.
 
@@ -84,7 +84,7 @@
         The chat.
     quality : float
         Quality of this answer, which its text states.
-    limit : int, optional
+    token_count : int, optional
         Exact number of tokens; by default it depends on the prompt.
 
     Returns
@@ -93,7 +93,7 @@
         At least two tokens: version and quality, then pseudo-random words.
     """
     seed = sha256(version.encode() + digest_messages(messages)).digest()
-    count = limit or MIN_ANSWER_TOKENS + seed[0] % ANSWER_TOKEN_SPREAD
+    count = token_count or MIN_ANSWER_TOKENS + seed[0] % ANSWER_TOKEN_SPREAD
     tokens = [f"{version}", f" quality={quality:.3f}"]
     state = int.from_bytes(seed)
     for position in range(max(0, count - len(tokens))):
@@ -108,10 +108,10 @@
     return float(match.group(1)) if match else None
 
 
-def check_answer(answer: str, messages: list[dict], limit: int | None) -> bool:
+def check_answer(answer: str, messages: list[dict], token_count: int | None) -> bool:
     """Whether a text is the complete answer of the version that it names."""
     quality = read_quality(answer)
     if quality is None:
         return False
     version = answer.split(" ", 1)[0]
-    return answer == "".join(make_answer(version, messages, quality, limit))
+    return answer == "".join(make_answer(version, messages, quality, token_count))
--- a/packages/fakes/src/bergamotwood_fakes/fleet.py
+++ b/packages/fakes/src/bergamotwood_fakes/fleet.py
@@ -96,7 +96,7 @@
         self._folder = folder
         self._ports = PortChooser()
         self._proxy_process: ManagedProcess | None = None
-        self._peers: dict[str, Address] = {}
+        self._peer_addresses: dict[str, Address] = {}
 
     def __enter__(self) -> "Fleet":
         return self
@@ -115,7 +115,7 @@
         """Start all processes and wait until the daemons answer."""
         if self.plan.proxy:
             self._add_proxy()
-        self._add_platform()
+        self._add_outside_services()
         self._add_entries()
         for engine in self.plan.engines:
             self._add_engine(engine)
@@ -165,9 +165,9 @@
         daemons = self.entries
         fakes = [member for member in self.members.values() if member not in daemons]
         endpoints = [member for member in fakes if member.records is not None]
-        platform = [member for member in fakes if member.records is None]
+        outside_services = [member for member in fakes if member.records is None]
         exit_codes: dict[str, int | None] = {}
-        for group in (endpoints, daemons, platform):
+        for group in (endpoints, daemons, outside_services):
             running = [member for member in group if member.running]
             for member in running:
                 member.terminate()
@@ -259,7 +259,7 @@
         proxy.launch()
         self._proxy_process = proxy
 
-    def _add_platform(self) -> None:
+    def _add_outside_services(self) -> None:
         """Add the fake rating service and the fake weight store."""
         for name, extra_options in (
             ("rating", ["--rate", str(self.plan.rating_rate)]),
@@ -279,10 +279,10 @@
         """Choose the replicas' addresses and add the daemons."""
         for number in range(self.plan.controls):
             name = make_entry_name(number + 1)
-            self._peers[name] = self._choose_address()
+            self._peer_addresses[name] = self._choose_address()
         public_addresses = {
             name: self.publish_address(name, address)
-            for name, address in self._peers.items()
+            for name, address in self._peer_addresses.items()
         }
         replicas = [
             {"id": name, "host": address.host, "port": address.port}
@@ -295,11 +295,11 @@
         """Write the settings of one daemon and add it."""
         name = make_entry_name(number + 1)
         address = self._choose_address()
-        peer_address = self._peers.get(name) or self._choose_address()
+        peer_address = self._peer_addresses.get(name) or self._choose_address()
         folder = self._folder / name
         folder.mkdir()
         data_centres = self.plan.data_centres
-        is_control = name in self._peers
+        is_control = name in self._peer_addresses
         settings = {
             "instance": name,
             "data_centre": data_centres[number % len(data_centres)],
--- a/packages/fakes/src/bergamotwood_fakes/report.py
+++ b/packages/fakes/src/bergamotwood_fakes/report.py
@@ -86,7 +86,7 @@
         longest_gap=measure_gap(transcripts),
         back_to_normal=_measure_recovery(transcripts, min(faults)) if faults else 0.0,
         violations=check_promises(evidence),
-        unmet=[fault for runner in runners for fault in runner.unmet]
+        unmet=[expectation for runner in runners for expectation in runner.unmet]
         if include_expectations
         else [],
         troubles=_count_troubles(transcripts),
@@ -105,15 +105,15 @@
     return [f"{number} x {kind}" for kind, number in kinds.most_common(MAX_TROUBLES)]
 
 
-def _measure_recovery(transcripts: list[Transcript], fault: float) -> float:
+def _measure_recovery(transcripts: list[Transcript], fault_at: float) -> float:
     """Measure the seconds from a fault to the last failed attempt after it."""
     ends = [
         attempt.ended
         for transcript in transcripts
         for attempt in transcript.tries
-        if attempt.outcome is not Outcome.ANSWERED and attempt.ended > fault
+        if attempt.outcome is not Outcome.ANSWERED and attempt.ended > fault_at
     ]
-    return max(ends, default=fault) - fault
+    return max(ends, default=fault_at) - fault_at
 
 
 def format_result(result: Result) -> str:
@@ -128,8 +128,8 @@
             f"  VIOLATION {violation.promise}: {violation.detail}"
             for violation in result.violations
         ),
-        *(f"  UNMET {fault}" for fault in result.unmet),
-        *(f"  {line}" for line in result.troubles),
+        *(f"  UNMET {expectation}" for expectation in result.unmet),
+        *(f"  {trouble}" for trouble in result.troubles),
     ]
     return "\n".join((line, *details))
 
