--- a/packages/fakes/src/bergamotwood_fakes/announcer.py
+++ b/packages/fakes/src/bergamotwood_fakes/announcer.py
@@ -29,7 +29,7 @@
     Parameters
     ----------
     entries : tuple of Address
-        Entries to announce to; after a failure the next one is used.
+        Entries in the order of use; a failed announcement switches to the next one.
     key : str
         Endpoint key.
     describe : callable
@@ -64,7 +64,7 @@
             sleep(INTERVAL_SECONDS if accepted else RETRY_SECONDS)
 
     def leave(self) -> None:
-        """Announce that the endpoint leaves, until one entry accepts it."""
+        """Announce that the endpoint leaves; try the entries until one accepts it."""
         self._state = EndpointState.LEAVING
         for _ in self._entries:
             if self.announce():
--- a/packages/fakes/src/bergamotwood_fakes/answer.py
+++ b/packages/fakes/src/bergamotwood_fakes/answer.py
@@ -85,7 +85,7 @@
     quality : float
         Quality of this answer, which its text states.
     token_count : int, optional
-        Exact number of tokens; by default it depends on the prompt.
+        Exact number of tokens, but at least two; by default it depends on the prompt.
 
     Returns
     -------
@@ -95,6 +95,7 @@
     seed = sha256(version.encode() + digest_messages(messages)).digest()
     count = token_count or MIN_ANSWER_TOKENS + seed[0] % ANSWER_TOKEN_SPREAD
     tokens = [f"{version}", f" quality={quality:.3f}"]
+    # A linear congruential generator, whose high bits choose the words.
     state = int.from_bytes(seed)
     for position in range(max(0, count - len(tokens))):
         state = (state * 6364136223846793005 + position + 1) % 2**256
--- a/packages/fakes/src/bergamotwood_fakes/checks.py
+++ b/packages/fakes/src/bergamotwood_fakes/checks.py
@@ -13,12 +13,15 @@
 from bergamotwood_fakes.timeline import Timeline
 from bergamotwood_fakes.transcript import Attempt, Outcome, Transcript
 
+# Time after the start of an endpoint's shutdown in which it may get new work.
 LEAVE_GRACE_SECONDS = 4.0
+# Default of the daemons' `max_config_age_seconds`. With an older configuration an
+# entry takes no new work, so that it may lag behind the tickets.
 MAX_FRESH_AGE_SECONDS = 5.0
 
 
 def check_promises(evidence: Evidence) -> list[Violation]:
-    """Check all promises and list the violations."""
+    """Check the ten promises and the exits of processes, and list the violations."""
     checks = (
         check_allowed_versions,
         check_withdrawn_versions,
@@ -238,7 +241,7 @@
 
 
 def check_configuration(evidence: Evidence) -> Iterator[Violation]:
-    """Check that accepted tickets take effect in time and are never reverted."""
+    """Check that accepted tickets are kept and take effect in time, without reverts."""
     promise = "configuration"
     for number, is_kept in evidence.kept_tickets.items():
         if not is_kept:
@@ -257,7 +260,7 @@
 
 
 def _check_samples(evidence: Evidence) -> Iterator[Violation]:
-    """Check the samples of the entries' configurations."""
+    """Check in the samples that entries apply tickets in time and never revert."""
     timeline = Timeline(evidence.tickets, evidence.lag)
     newest: dict[tuple[str, int], int] = {}
     reported: set[tuple[str, int]] = set()
--- a/packages/fakes/src/bergamotwood_fakes/fault.py
+++ b/packages/fakes/src/bergamotwood_fakes/fault.py
@@ -9,7 +9,8 @@
     Parameters
     ----------
     silent_after, break_after : int, optional
-        Number of tokens after which a stream stalls, or its connection is closed.
+        Number of tokens after which a stream stalls, or its connection is closed. A
+        plain service closes the connection before its answer for any `break_after`.
     reorder, repeat : bool
         Swap neighbouring chunks of a stream, or send each chunk twice.
     error_rate : float
@@ -17,7 +18,7 @@
     extra_latency : float
         Seconds added before the first byte.
     late : float
-        Seconds between running a request and sending its answer.
+        Seconds between running a request and sending its answer, for a plain service.
     bad_quality : float, optional
         Quality of every answer, instead of the version's own.
     bad_version : str
--- a/packages/fakes/src/bergamotwood_fakes/fleet.py
+++ b/packages/fakes/src/bergamotwood_fakes/fleet.py
@@ -155,7 +155,7 @@
         return json.decode(body) if status == 200 else None
 
     def stop(self) -> dict[str, int | None]:
-        """Shut all processes down gracefully: endpoints, daemons, then the rest.
+        """Shut all processes down gracefully: endpoints, daemons, outside services.
 
         Returns
         -------
--- a/packages/fakes/src/bergamotwood_fakes/report.py
+++ b/packages/fakes/src/bergamotwood_fakes/report.py
@@ -94,7 +94,7 @@
 
 
 def _count_troubles(transcripts: list[Transcript]) -> list[str]:
-    """Count the most frequent kinds of failed attempts."""
+    """List the most frequent kinds of failed attempts, with their numbers."""
     kinds = Counter(
         f"{attempt.outcome} {attempt.status} code {attempt.code} "
         f"{attempt.run or ''} {attempt.detail[:60]}"
--- a/packages/fakes/src/bergamotwood_fakes/runner.py
+++ b/packages/fakes/src/bergamotwood_fakes/runner.py
@@ -188,7 +188,7 @@
         )
 
     def _knows_endpoints(self, number: int) -> bool:
-        """Whether all running entries know at least a number of endpoints."""
+        """Whether all running entries know at least `number` endpoints."""
         running = [entry for entry in self._fleet.entries if entry.running]
         statuses = [self._fleet.read_status(entry) for entry in running]
         return all(
@@ -226,6 +226,7 @@
                 self._fleet.launch(member.name)
             case "stop":
                 self._stop_tasks.append(gevent.spawn(self._stop, member.name))
+                # Lets the shutdown begin before the next step.
                 gevent.sleep(0)
             case "pause":
                 member.pause()
--- a/packages/fakes/src/bergamotwood_fakes/step.py
+++ b/packages/fakes/src/bergamotwood_fakes/step.py
@@ -178,7 +178,7 @@
     codes : tuple of int, optional
         The only result codes that may be returned.
     longest_gap : float, optional
-        Maximum number of seconds without an answer.
+        Maximum number of seconds without an answer while requests are waiting.
     ran : tuple of int, optional
         Minimum and maximum number of runs of the stream's requests at endpoints.
     versions : tuple of str, optional
@@ -208,6 +208,15 @@
         Earliest time, in seconds after the start of the scenario.
     when : Condition, optional
         Condition to wait for after `at`.
+    announce, ticket, send, fault, expect : optional
+        Verbs that the class of their value describes.
+    delay, drop, cut, silence, half_open, partition : LinkStep, optional
+        Add a rule with this action to the proxy.
+    heal : bool, optional
+        Remove all rules from the proxy.
+    start, stop, pause, wake, kill, restart, lose_disk : str, optional
+        Process to start, to shut down gracefully, to suspend, to resume, to kill, to
+        kill and start again, or to kill before its data folder is erased.
     """
 
     at: float | None = None
--- a/packages/fakes/src/bergamotwood_fakes/timeline.py
+++ b/packages/fakes/src/bergamotwood_fakes/timeline.py
@@ -36,7 +36,7 @@
     tickets : list of TicketSubmission
         All submitted tickets.
     lag : float
-        Seconds after which all entries apply an accepted ticket.
+        Seconds within which all entries must apply an accepted ticket.
     """
 
     def __init__(self, tickets: list[TicketSubmission], lag: float) -> None:
@@ -48,7 +48,7 @@
             self.configurations.append(_apply_ticket(self.configurations[-1], same))
 
     def find_possible(self, time: float) -> list[Configuration]:
-        """Find the configurations that an entry may have applied at a time."""
+        """Find the configurations that an entry may apply at a time, oldest first."""
         newest_settled = 0
         for position, configuration in enumerate(self.configurations):
             if configuration.answered + self._lag < time:
--- a/packages/fakes/src/bergamotwood_fakes/transcript.py
+++ b/packages/fakes/src/bergamotwood_fakes/transcript.py
@@ -8,7 +8,12 @@
 
 
 class Outcome(StrEnum):
-    """What a caller knows about a request after an attempt."""
+    """What a caller knows about a request after an attempt.
+
+    `refused` means that an error states that the request did not run, `unknown` an
+    error that does not state it, `broken` that there was no complete answer, and
+    `unreachable` that the connection was refused.
+    """
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -107,7 +112,17 @@
 
 
 class Transcript(Struct):
-    """A request with all its attempts, in the order in which they began."""
+    """A request with all its attempts.
+
+    Parameters
+    ----------
+    request : Request
+        The request.
+    tries : list of Attempt
+        Its attempts, in the order in which they began.
+    done : bool
+        Whether the caller makes no more attempts.
+    """
 
     request: Request
     tries: list[Attempt] = field(default_factory=list)
--- a/tests/soak/test_relay.py
+++ b/tests/soak/test_relay.py
@@ -46,6 +46,7 @@
     assert sock.recv(1) == b"a"
     relay.inject(Action.CUT, 60.0)
     assert sock.recv(1) == b""
+    # A refused connection ends with an error or without a byte.
     with pytest.raises(ConnectionError):
         if connect(relay).recv(1) == b"":
             raise ConnectionError
