--- a/tests/fakes/test_checks.py
+++ b/tests/fakes/test_checks.py
@@ -83,15 +83,15 @@
     assert list_violated_promises(evidence) == {"allowed version"}
 
 
-@mark.parametrize(("time", "expected"), [(115.0, set()), (117.0, {1})])
+@mark.parametrize(("time", "is_violation"), [(115.0, False), (117.0, True)])
 def test_run_on_a_withdrawn_version_is_a_violation_after_the_lag(
-    evidence, chat, time, expected
+    evidence, chat, time, is_violation
 ):
     evidence.tickets.append(make_ticket(2, 110.0, withdrawn=("small:1",)))
     evidence.samples.append(Sample(time, "entry-1", 1, 2, 0.1, False))
     evidence.records.append(make_run(chat, time))
     assert list_violated_promises(evidence) == (
-        {"withdrawn version"} if expected else set()
+        {"withdrawn version"} if is_violation else set()
     )
 
 
