--- a/packages/fakes/src/bergamotwood_fakes/checks.py
+++ b/packages/fakes/src/bergamotwood_fakes/checks.py
@@ -15,8 +15,8 @@
 
 # Time after the start of an endpoint's shutdown in which it may get new work.
 LEAVE_GRACE_SECONDS = 4.0
-# Default of the daemons' `max_config_age_seconds`. With an older configuration an
-# entry takes no new work, so that it may lag behind the tickets.
+# Default of the daemons' `max_config_age_seconds`. An entry whose configuration was
+# last confirmed longer ago takes no new work, so that it may lag behind the tickets.
 MAX_FRESH_AGE_SECONDS = 5.0
 
 
--- a/packages/fakes/src/bergamotwood_fakes/evidence.py
+++ b/packages/fakes/src/bergamotwood_fakes/evidence.py
@@ -29,7 +29,24 @@
 
 
 class Sample(Struct):
-    """The status of an entry's configuration at a time."""
+    """The status of an entry's configuration at a time.
+
+    Parameters
+    ----------
+    time : float
+        Time of the status request, in seconds since boot.
+    entry : str
+        Name of the entry.
+    process : int
+        Process id, by which a restart of the entry shows.
+    ticket : int
+        Number of the latest ticket that the entry applies.
+    age : float or None
+        Seconds since its configuration was last confirmed as the newest; None when
+        it never was.
+    draining : bool
+        Whether it is shutting down.
+    """
 
     time: float
     entry: str
--- a/packages/fakes/src/bergamotwood_fakes/transcript.py
+++ b/packages/fakes/src/bergamotwood_fakes/transcript.py
@@ -77,7 +77,7 @@
     outcome : Outcome
         What the caller knows about the request after the attempt.
     status, code : int
-        HTTP status and result code.
+        HTTP status and result code, 0 for none.
     run : Run or None
         Whether the request ran, as stated in an error.
     text : str
