--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -225,13 +225,13 @@
         self.call = Call(
             metadata=RequestMetadata(
                 request=RequestId(f"q{number}"),
-                leaves_model_open=True,
+                accepts_any_model=True,
                 prompt_tokens=prefix_tokens + own_tokens,
                 expected_tokens=int(expected * rng.lognormvariate(0.0, 0.5)) + 1,
                 prompt=prompt,
             ),
             route=make_route(kind),
-            holder=None,
+            workspace=None,
             service=SERVICE,
             received_at=self.started_at,
             deadline=Seconds(self.started_at + kind.deadline),
@@ -306,7 +306,7 @@
             self.engine.cancel(self.generation)
             entry.loads.remove_request(endpoint, call.metadata.request)
             call.model = next_model
-            call.tried.append(endpoint)
+            call.tried_endpoints.append(endpoint)
             self.send()
             return
         self.is_late = now - self.started_at > self.kind.objective
@@ -379,7 +379,7 @@
         kind=RouteKind.STREAMING,
         destinations=(Destination(SERVICE, 1.0),),
         timeout_seconds=kind.deadline,
-        objective_seconds=kind.objective,
+        latency_objective_seconds=kind.objective,
         event_gap_seconds=kind.event_gap,
         max_attempts=3,
         models=MODELS,
--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -38,7 +38,7 @@
     ----------
     request : RequestId
         Identifies the request; a retry by the caller has a new id.
-    patience_seconds : float or None
+    timeout_seconds : float or None
         Seconds that the caller waits for the answer.
     key : str
         API key of the workspace; empty if none was sent.
@@ -46,7 +46,7 @@
         Session of the request; empty if it belongs to none.
     model : ModelName
         Requested model; empty if none was named.
-    leaves_model_open : bool
+    accepts_any_model : bool
         Whether the router chooses the model.
     prompt_tokens, output_tokens : int
         Length of the prompt, and the maximum number of generated tokens.
@@ -54,21 +54,21 @@
         The caller's estimate of generated tokens; 0 if it gave none.
     prompt : tuple of PromptPart
         Parts of the prompt in order; the last one is not shared.
-    last_event : str
+    last_event_id : str
         Id of the last event that the caller received; empty for a new stream.
     """
 
     request: RequestId
-    patience_seconds: float | None = None
+    timeout_seconds: float | None = None
     key: str = ""
     session: SessionId = SessionId("")
     model: ModelName = ModelName("")
-    leaves_model_open: bool = False
+    accepts_any_model: bool = False
     prompt_tokens: int = 0
     output_tokens: int = 0
     expected_tokens: int = 0
     prompt: tuple[PromptPart, ...] = ()
-    last_event: str = ""
+    last_event_id: str = ""
 
 
 class ForwardMetadata(Struct, frozen=True):
@@ -78,24 +78,24 @@
     ----------
     endpoint : EndpointId
         The only endpoint that may execute the request.
-    patience_seconds : float
+    timeout_seconds : float
         Seconds after which the caller no longer waits for the answer.
     workspace : WorkspaceId or None
         Workspace of the caller's key.
     model : ModelName
         Chosen model; empty if the route has no choice of models.
-    urgency : int or None
+    priority : int or None
         Priority from 0, the most urgent, to 9.
-    last_event : str
+    last_event_id : str
         Id of the event after which a stream resumes; empty for its beginning.
     """
 
     endpoint: EndpointId
-    patience_seconds: float
+    timeout_seconds: float
     workspace: WorkspaceId | None = None
     model: ModelName = ModelName("")
-    urgency: int | None = None
-    last_event: str = ""
+    priority: int | None = None
+    last_event_id: str = ""
 
 
 class ResponseMetadata(Struct, frozen=True):
@@ -107,7 +107,7 @@
         Request that the response answers.
     is_signed : bool
         Whether the endpoint signed the response.
-    is_not_run : bool
+    is_not_executed : bool
         Whether the endpoint states that it did not execute the request.
     confidence : float or None
         The model's confidence in its answer, from 0 to 1.
@@ -115,7 +115,7 @@
 
     request: RequestId
     is_signed: bool
-    is_not_run: bool
+    is_not_executed: bool
     confidence: float | None = None
 
 
@@ -128,7 +128,7 @@
         Metadata that the caller sent.
     route : ServiceRoute
         Route that matches the request.
-    holder : GatewayWorkspace or None
+    workspace : GatewayWorkspace or None
         Workspace of the caller's key.
     service : ServiceName
         Service chosen among the route's destinations.
@@ -136,11 +136,11 @@
         Time of arrival, and time by which the complete answer is due.
     fingerprint : Fingerprint
         Equal for requests with the same method, path, workspace and body.
-    tried : list of EndpointId
+    tried_endpoints : list of EndpointId
         Endpoints that the request was sent to.
-    runs : int
+    possible_executions : int
         Attempts that may have been executed.
-    last_event : str
+    last_event_id : str
         Id of the last event that the caller received.
     model : ModelName
         Model of the current attempt.
@@ -152,21 +152,21 @@
 
     metadata: RequestMetadata
     route: ServiceRoute
-    holder: GatewayWorkspace | None
+    workspace: GatewayWorkspace | None
     service: ServiceName
     received_at: Seconds
     deadline: Seconds
     fingerprint: Fingerprint
-    tried: list[EndpointId] = []
-    runs: int = 0
-    last_event: str = ""
+    tried_endpoints: list[EndpointId] = []
+    possible_executions: int = 0
+    last_event_id: str = ""
     model: ModelName = ModelName("")
     confidence: float | None = None
     timing: Timing | None = None
 
     @property
-    def urgency(self) -> int:
+    def priority(self) -> int:
         """Priority of the request; 0 is the most urgent."""
-        if self.holder is not None and self.holder.priority is not None:
-            return self.holder.priority
+        if self.workspace is not None and self.workspace.priority is not None:
+            return self.workspace.priority
         return self.route.priority
--- a/packages/core/src/bergamotwood_core/gateway/configuration.py
+++ b/packages/core/src/bergamotwood_core/gateway/configuration.py
@@ -50,7 +50,7 @@
         Services that receive the requests.
     timeout_seconds : float
         Maximum time until the complete answer.
-    objective_seconds : float
+    latency_objective_seconds : float
         Target time until the answer, or until the first event of a stream.
     event_gap_seconds : float
         Target for the longest pause between events of a stream.
@@ -62,7 +62,7 @@
         Whether callers must send the key of a workspace.
     models : tuple of ModelName
         Models to choose from, smallest first; empty if there is no choice.
-    keeps_session : bool
+    has_session_affinity : bool
         Whether requests of a session should go to the same endpoint.
     resumable : bool
         Whether a stream may resume at another endpoint.
@@ -74,13 +74,13 @@
     kind: RouteKind
     destinations: tuple[Destination, ...]
     timeout_seconds: float
-    objective_seconds: float = 1.0
+    latency_objective_seconds: float = 1.0
     event_gap_seconds: float = 1.0
     priority: int = 0
     max_attempts: int = 1
     requires_key: bool = True
     models: tuple[ModelName, ...] = ()
-    keeps_session: bool = False
+    has_session_affinity: bool = False
     resumable: bool = False
 
     @property
@@ -148,7 +148,7 @@
 
     Parameters
     ----------
-    workspace : WorkspaceId
+    name : WorkspaceId
         Name of the workspace.
     keys : tuple of str
         Keys that its callers may use.
@@ -156,7 +156,7 @@
         Overrides the priority of the route; 0 is the most urgent.
     """
 
-    workspace: WorkspaceId
+    name: WorkspaceId
     keys: tuple[str, ...] = ()
     priority: int | None = None
 
@@ -174,7 +174,7 @@
     routes: tuple[ServiceRoute, ...] = ()
     services: tuple[GatewayService, ...] = ()
     limits: CallerLimits = CallerLimits()
-    holders: tuple[GatewayWorkspace, ...] = ()
+    workspaces: tuple[GatewayWorkspace, ...] = ()
 
 
 def find_configuration_errors(configuration: GatewayConfiguration) -> tuple[str, ...]:
@@ -214,8 +214,8 @@
 
 def _find_shared_keys(configuration: GatewayConfiguration) -> Iterator[str]:
     owners: dict[str, WorkspaceId] = {}
-    for holder in configuration.holders:
-        for key in holder.keys:
-            owner = owners.setdefault(key, holder.workspace)
-            if owner != holder.workspace:
-                yield f"workspaces {owner} and {holder.workspace} share a key"
+    for workspace in configuration.workspaces:
+        for key in workspace.keys:
+            owner = owners.setdefault(key, workspace.name)
+            if owner != workspace.name:
+                yield f"workspaces {owner} and {workspace.name} share a key"
--- a/packages/core/src/bergamotwood_core/gateway/health.py
+++ b/packages/core/src/bergamotwood_core/gateway/health.py
@@ -69,11 +69,11 @@
         Consecutive failed connections.
     failure_rate : float
         Moving average of the share of attempts that failed.
-    seconds : float
+    response_seconds : float
         Moving average of the response time; 0 before the first response.
     is_replaced : bool
         Whether another endpoint now uses its address.
-    heard_at : Seconds
+    last_received_at : Seconds
         Time at which data was last received from the endpoint.
     """
 
@@ -81,9 +81,9 @@
     paused_until: Seconds = Seconds(0.0)
     failures: int = 0
     failure_rate: float = 0.0
-    seconds: float = 0.0
+    response_seconds: float = 0.0
     is_replaced: bool = False
-    heard_at: Seconds = Seconds(float("-inf"))
+    last_received_at: Seconds = Seconds(float("-inf"))
 
 
 class HealthTable:
@@ -103,14 +103,14 @@
         self, endpoint: EndpointId, incarnation: Incarnation, now: Seconds
     ) -> None:
         """Record that data was received from an endpoint."""
-        self.find(endpoint, incarnation).heard_at = now
+        self.find(endpoint, incarnation).last_received_at = now
 
     def is_unresponsive(
         self, endpoint: EndpointId, incarnation: Incarnation, now: Seconds
     ) -> bool:
         """Whether no data was received from an endpoint for too long."""
-        heard_at = self.find(endpoint, incarnation).heard_at
-        return now - heard_at > MAX_TRAFFIC_GAP_SECONDS
+        last_received_at = self.find(endpoint, incarnation).last_received_at
+        return now - last_received_at > MAX_TRAFFIC_GAP_SECONDS
 
     def retain(self, endpoints: set[EndpointId]) -> None:
         """Remove all endpoints except the given ones."""
@@ -165,6 +165,6 @@
 
 
 def _update_response_time(health: EndpointHealth, value: float) -> None:
-    if health.seconds == 0.0:
-        health.seconds = value
-    health.seconds += SMOOTHING_FACTOR * (value - health.seconds)
+    if health.response_seconds == 0.0:
+        health.response_seconds = value
+    health.response_seconds += SMOOTHING_FACTOR * (value - health.response_seconds)
--- a/packages/core/src/bergamotwood_core/gateway/latency.py
+++ b/packages/core/src/bergamotwood_core/gateway/latency.py
@@ -28,20 +28,20 @@
     ----------
     head_seconds : float
         Time until the answer started.
-    whole_seconds : float
+    total_seconds : float
         Time until the answer was complete.
     events : int
         Number of events of a stream; 0 for other answers.
     """
 
     head_seconds: float
-    whole_seconds: float
+    total_seconds: float
     events: int = 0
 
     @property
     def event_seconds(self) -> float:
         """Mean time between events."""
-        return (self.whole_seconds - self.head_seconds) / max(self.events, 1)
+        return (self.total_seconds - self.head_seconds) / max(self.events, 1)
 
 
 class _Averages(Struct):
@@ -57,7 +57,7 @@
     log_token_ratio: float = 0.0
     head: float = 0.0
     event: float = 0.0
-    whole: float = 0.0
+    total: float = 0.0
 
 
 class LatencyTable:
@@ -75,7 +75,7 @@
         weight = max(SMOOTHING_FACTOR, 1.0 / average.samples)
         average.head += weight * (timing.head_seconds - average.head)
         average.event += weight * (timing.event_seconds - average.event)
-        average.whole += weight * (timing.whole_seconds - average.whole)
+        average.total += weight * (timing.total_seconds - average.total)
         if timing.events and expected_tokens:
             average.estimates += 1
             weight = max(SMOOTHING_FACTOR, 1.0 / average.estimates)
@@ -98,7 +98,7 @@
         if average is None or average.samples < MIN_SAMPLES:
             return False
         if timing.events == 0:
-            return timing.whole_seconds > SLOW_TOTAL_FACTOR * average.whole
+            return timing.total_seconds > SLOW_TOTAL_FACTOR * average.total
         if timing.head_seconds > SLOW_START_FACTOR * average.head:
             return True
         if timing.events < MIN_EVENTS:
--- a/packages/core/src/bergamotwood_core/gateway/placement.py
+++ b/packages/core/src/bergamotwood_core/gateway/placement.py
@@ -71,7 +71,7 @@
         Tokens of the prompt that probably need prefill.
     uncached_shared_tokens : int
         Those of them that are shared with other requests.
-    is_guess : bool
+    is_cache_assumed : bool
         Whether the cached tokens are only assumed because all entries prefer the
         endpoint.
     """
@@ -81,7 +81,7 @@
     load: EndpointLoad
     uncached_tokens: int = 0
     uncached_shared_tokens: int = 0
-    is_guess: bool = False
+    is_cache_assumed: bool = False
 
 
 class Placement:
@@ -162,7 +162,7 @@
         self, candidate: Candidate, call: Call, seconds: float
     ) -> None:
         """Record the time until the answer started."""
-        if not candidate.is_guess:
+        if not candidate.is_cache_assumed:
             self.prefill_rate.record(call.model, candidate.uncached_tokens, seconds)
 
     def _find_eligible(
@@ -180,7 +180,7 @@
             health = self._health.find(heartbeat.endpoint, heartbeat.incarnation)
             if health.is_replaced or health.paused_until > now:
                 continue
-            if heartbeat.endpoint not in call.tried:
+            if heartbeat.endpoint not in call.tried_endpoints:
                 found.append((heartbeat, health))
         return found
 
@@ -205,7 +205,7 @@
             load,
             max(call.metadata.prompt_tokens - cached_tokens, 0),
             max(shared_tokens - cached_tokens, 0),
-            is_guess=assumed > cached,
+            is_cache_assumed=assumed > cached,
         )
 
     def _estimate_cost(self, candidate: Candidate, call: Call, now: Seconds) -> float:
@@ -214,7 +214,7 @@
         if call.metadata.prompt_tokens:
             cost = self._estimate_prefill_cost(candidate, call)
         else:
-            seconds = candidate.health.seconds or INITIAL_RESPONSE_SECONDS
+            seconds = candidate.health.response_seconds or INITIAL_RESPONSE_SECONDS
             cost = seconds * (1.0 + load.requests / max(heartbeat.slots, 1))
         if heartbeat.data_centre != self._data_centre:
             cost += REMOTE_COST_SECONDS
@@ -231,7 +231,9 @@
         wait = (
             prefill + load.prefill_seconds + OPEN_REQUEST_COST_SECONDS * load.requests
         )
-        discounted_wait = DISCOUNTED_WAIT_FRACTION * call.route.objective_seconds
+        discounted_wait = (
+            DISCOUNTED_WAIT_FRACTION * call.route.latency_objective_seconds
+        )
         recomputed = candidate.uncached_shared_tokens
         return (
             wait * min(wait / discounted_wait, 1.0)
--- a/packages/core/src/bergamotwood_core/gateway/retries.py
+++ b/packages/core/src/bergamotwood_core/gateway/retries.py
@@ -92,6 +92,6 @@
         return False
     if has_run and not call.route.is_retryable:
         return False
-    if call.runs >= call.route.max_attempts:
+    if call.possible_executions >= call.route.max_attempts:
         return False
-    return len(call.tried) < call.route.max_attempts + MAX_REFUSED_SENDS
+    return len(call.tried_endpoints) < call.route.max_attempts + MAX_REFUSED_SENDS
--- a/packages/core/src/bergamotwood_core/gateway/routing.py
+++ b/packages/core/src/bergamotwood_core/gateway/routing.py
@@ -29,7 +29,7 @@
         }
         self._workspaces = {
             key: workspace
-            for workspace in configuration.holders
+            for workspace in configuration.workspaces
             for key in workspace.keys
         }
         self._services = {service.name: service for service in configuration.services}
@@ -42,7 +42,7 @@
     @property
     def has_workspaces(self) -> bool:
         """Whether the configuration defines any workspace."""
-        return bool(self.configuration.holders)
+        return bool(self.configuration.workspaces)
 
     def find_route(self, host: str, path: str) -> ServiceRoute | None:
         """Return the route with the longest matching prefix; None if none matches."""
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -170,17 +170,17 @@
         except NotConnectedError as error:
             return NotRun(str(error), AttemptResult.UNREACHABLE, was_sent=False)
         except ConnectionBrokenError as error:
-            self._call.runs += 1
+            self._call.possible_executions += 1
             return MayHaveRun(str(error), AttemptResult.BROKEN)
         try:
             head = self._receive_head()
             while isinstance(head, h11.InformationalResponse):
                 head = self._receive_head()
         except ConnectionBrokenError as error:
-            self._call.runs += 1
+            self._call.possible_executions += 1
             return MayHaveRun(str(error), AttemptResult.BROKEN)
         except ResponseTimeoutError as error:
-            self._call.runs += 1
+            self._call.possible_executions += 1
             return MayHaveRun(str(error), AttemptResult.SILENT)
         self.head_at = self._entry.clock()
         return self._check_head(head)
@@ -230,7 +230,10 @@
 
     def _should_abandon(self, now: Seconds) -> bool:
         route = self._call.route
-        if not route.is_retryable or self._call.runs + 1 >= route.max_attempts:
+        if (
+            not route.is_retryable
+            or self._call.possible_executions + 1 >= route.max_attempts
+        ):
             return False
         if now - self.started_at < SILENCE_CHECK_SECONDS:
             return False
@@ -238,7 +241,7 @@
 
     def _check_head(self, head: h11.Response) -> h11.Response | Outcome:
         metadata = self._entry.dialect.read_answer(list(head.headers))
-        if metadata.is_not_run or head.status_code == MISDIRECTED_REQUEST:
+        if metadata.is_not_executed or head.status_code == MISDIRECTED_REQUEST:
             self.close()
             result = AttemptResult.FULL
             if head.status_code == MISDIRECTED_REQUEST:
@@ -248,7 +251,7 @@
                 result,
                 was_sent=True,
             )
-        self._call.runs += 1
+        self._call.possible_executions += 1
         if not metadata.is_signed or metadata.request != self._call.metadata.request:
             return MayHaveRun(
                 "response is unsigned or for another request", AttemptResult.BROKEN
@@ -265,11 +268,12 @@
         """
         route = self._call.route
         left = self._compute_time_left()
-        is_last = self._call.runs + 1 >= route.max_attempts
+        is_last = self._call.possible_executions + 1 >= route.max_attempts
         if is_last or not route.is_retryable or route.kind is RouteKind.STREAMING:
             return left
         timeout = max(
-            HEAD_TIMEOUT_OBJECTIVES * route.objective_seconds, MIN_HEAD_TIMEOUT_SECONDS
+            HEAD_TIMEOUT_OBJECTIVES * route.latency_objective_seconds,
+            MIN_HEAD_TIMEOUT_SECONDS,
         )
         return min(timeout, left)
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -61,7 +61,7 @@
 # Retry delay while this entry drains: the caller only has to connect to another one.
 DRAINING_RETRY_SECONDS = 0.02
 # Endpoints accept urgencies from 0, the most urgent, to 9; routes seldom exceed 3.
-MAX_URGENCY = 9
+MAX_PRIORITY = 9
 
 
 class Forwarder:
@@ -109,24 +109,24 @@
             raise RequestError(
                 f"no route for {request.host}{request.path}", Code.UNKNOWN_PATH
             )
-        holder = self._authorize(routing, route, metadata)
-        caller_timeout = metadata.patience_seconds or DEFAULT_CALLER_TIMEOUT_SECONDS
+        workspace = self._authorize(routing, route, metadata)
+        caller_timeout = metadata.timeout_seconds or DEFAULT_CALLER_TIMEOUT_SECONDS
         call = Call(
             metadata=metadata,
             route=route,
-            holder=holder,
+            workspace=workspace,
             service=choose_destination(route, metadata.session or metadata.request),
             received_at=Seconds(request.received_at),
             deadline=Seconds(
                 request.received_at + min(caller_timeout, route.timeout_seconds)
             ),
-            fingerprint=_make_fingerprint(exchange, holder),
-            last_event=metadata.last_event,
+            fingerprint=_make_fingerprint(exchange, workspace),
+            last_event_id=metadata.last_event_id,
             model=metadata.model,
         )
         self._check_suspension(call)
         entry.budget.record_request(call.service, entry.clock())
-        if metadata.leaves_model_open:
+        if metadata.accepts_any_model:
             call.model = self._choose_model(call)
         return call
 
@@ -147,10 +147,10 @@
         if not route.requires_key or not routing.has_workspaces:
             return None
         self._entry.control_state.require_lease()
-        holder = routing.find_workspace(metadata.key)
-        if holder is None:
+        workspace = routing.find_workspace(metadata.key)
+        if workspace is None:
             raise AuthorizationError("unknown key")
-        return holder
+        return workspace
 
     def _choose_model(self, call: Call) -> ModelName:
         available = list_models(self._entry.control_state.heartbeats.values(), call)
@@ -171,7 +171,7 @@
         try:
             self._forward(call, exchange)
         except (RefusedError, AuthorizationError) as error:
-            if call.runs == 0:
+            if call.possible_executions == 0:
                 raise
             raise EndpointError(error.detail, Code.ENDPOINT_FAILED) from error
 
@@ -180,9 +180,9 @@
         last_outcome: Outcome | None = None
         while True:
             candidate = self._choose_endpoint(call, last_outcome, relay)
-            if call.tried:
+            if call.tried_endpoints:
                 self._entry.budget.record_retry(call.service, self._entry.clock())
-            call.tried.append(candidate.heartbeat.endpoint)
+            call.tried_endpoints.append(candidate.heartbeat.endpoint)
             self._record_session(call, candidate)
             last_outcome = self._try_endpoint(call, candidate, exchange, relay)
             if exchange.is_finished:
@@ -210,7 +210,7 @@
             f"{call.service}: no endpoint accepts requests",
             Code.NO_ENDPOINT,
             retry_after=OVERLOADED_RETRY_SECONDS
-            if call.tried
+            if call.tried_endpoints
             else NO_ENDPOINT_RETRY_SECONDS,
         )
 
@@ -296,10 +296,10 @@
     def _find_larger_model(
         self, call: Call, head: h11.Response, relay: StreamRelay
     ) -> ModelName | None:
-        if not call.metadata.leaves_model_open or relay.has_started:
+        if not call.metadata.accepts_any_model or relay.has_started:
             return None
         call.confidence = self._entry.dialect.read_answer(list(head.headers)).confidence
-        if call.runs >= call.route.max_attempts:
+        if call.possible_executions >= call.route.max_attempts:
             return None
         if not self._entry.budget.allows(call.service, self._entry.clock()):
             return None
@@ -335,18 +335,18 @@
         self._recheck_key(call)
         return ForwardMetadata(
             endpoint=attempt.heartbeat.endpoint,
-            patience_seconds=call.deadline - self._entry.clock(),
-            workspace=call.holder.workspace if call.holder else None,
-            model=call.model if call.metadata.leaves_model_open else ModelName(""),
-            urgency=min(call.urgency, MAX_URGENCY)
+            timeout_seconds=call.deadline - self._entry.clock(),
+            workspace=call.workspace.name if call.workspace else None,
+            model=call.model if call.metadata.accepts_any_model else ModelName(""),
+            priority=min(call.priority, MAX_PRIORITY)
             if call.route.kind is RouteKind.STREAMING
             else None,
-            last_event=call.last_event,
+            last_event_id=call.last_event_id,
         )
 
     def _recheck_key(self, call: Call) -> None:
         """Refuse a request whose key was revoked while it waited."""
-        if call.holder is None:
+        if call.workspace is None:
             return
         control_state = self._entry.control_state
         control_state.require_lease()
@@ -395,7 +395,7 @@
             heartbeat.endpoint,
             heartbeat.incarnation,
             result,
-            timing.whole_seconds,
+            timing.total_seconds,
             entry.clock(),
         )
         entry.counters.count_attempt(call, result)
@@ -418,11 +418,11 @@
             **_make_call_fields(call),
             endpoint=heartbeat.endpoint,
             address=heartbeat.address,
-            number=len(call.tried),
+            number=len(call.tried_endpoints),
             result=result,
             reason=outcome.reason,
             version=heartbeat.version,
-            milliseconds=round(1000 * timing.whole_seconds, 1),
+            milliseconds=round(1000 * timing.total_seconds, 1),
             failure_rate=round(candidate.health.failure_rate, 2),
             configuration=entry.control_state.number,
             age=round(entry.control_state.age, 2),
@@ -456,7 +456,7 @@
             "Answered.",
             **_make_call_fields(call),
             status=exchange.status,
-            endpoints=call.tried,
+            endpoints=call.tried_endpoints,
             confidence=call.confidence,
             session=call.metadata.session,
             prompt_tokens=call.metadata.prompt_tokens,
@@ -493,11 +493,11 @@
 
 
 def _make_fingerprint(
-    exchange: Exchange, holder: GatewayWorkspace | None
+    exchange: Exchange, workspace: GatewayWorkspace | None
 ) -> Fingerprint:
     request = exchange.request
     digest = sha256(request.method + b" " + request.target + b"\n")
-    digest.update((holder.workspace if holder else "").encode() + b"\n")
+    digest.update((workspace.name if workspace else "").encode() + b"\n")
     digest.update(request.body)
     return Fingerprint(digest.hexdigest()[:32])
 
@@ -518,7 +518,7 @@
     return {
         "request": call.metadata.request,
         "route": call.route.name,
-        "workspace": call.holder.workspace if call.holder else None,
+        "workspace": call.workspace.name if call.workspace else None,
         "service": call.service,
         "model": call.model,
     }
--- a/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
@@ -94,8 +94,8 @@
         """Return whether the caller lacks an event, and mark it as sent."""
         if event.id is None:
             return True
-        if _is_after(event.id, self._call.last_event):
-            self._call.last_event = event.id
+        if _is_after(event.id, self._call.last_event_id):
+            self._call.last_event_id = event.id
             return True
         return False
 
--- a/tests/core/gateway/samples.py
+++ b/tests/core/gateway/samples.py
@@ -33,7 +33,7 @@
         "kind": RouteKind.IDEMPOTENT,
         "destinations": (Destination(PLAIN),),
         "timeout_seconds": 3.0,
-        "objective_seconds": 0.4,
+        "latency_objective_seconds": 0.4,
         "max_attempts": 2,
     }
     return ServiceRoute(**{**values, **changes})
@@ -44,7 +44,7 @@
         "number": 3,
         "routes": (make_route(),),
         "services": (GatewayService(PLAIN), GatewayService(MODELS)),
-        "holders": (GatewayWorkspace(WorkspaceId("circle"), ("key-1", "key-2"), 1),),
+        "workspaces": (GatewayWorkspace(WorkspaceId("circle"), ("key-1", "key-2"), 1),),
     }
     return GatewayConfiguration(**{**values, **changes})
 
@@ -52,11 +52,9 @@
 def make_call(route=None, **changes):
     route = route or make_route()
     values = {
-        "metadata": RequestMetadata(
-            RequestId("q-1"), patience_seconds=3.0, key="key-1"
-        ),
+        "metadata": RequestMetadata(RequestId("q-1"), timeout_seconds=3.0, key="key-1"),
         "route": route,
-        "holder": None,
+        "workspace": None,
         "service": route.destinations[0].service,
         "received_at": Seconds(0.0),
         "deadline": Seconds(3.0),
--- a/tests/core/gateway/test_configuration.py
+++ b/tests/core/gateway/test_configuration.py
@@ -44,13 +44,13 @@
 
 
 def test_key_shared_by_two_workspaces_is_an_error():
-    holders = (
+    workspaces = (
         GatewayWorkspace(WorkspaceId("a"), ("k",)),
         GatewayWorkspace(WorkspaceId("b"), ("k",)),
     )
     assert (
         "share a key"
-        in find_configuration_errors(make_configuration(holders=holders))[0]
+        in find_configuration_errors(make_configuration(workspaces=workspaces))[0]
     )
 
 
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -39,7 +39,7 @@
     health.record_result("replaced", 1, AttemptResult.REPLACED, 0.0, NOW)
     health.record_result("paused", 1, AttemptResult.UNREACHABLE, 0.0, NOW)
     heartbeats.append(make_heartbeat("other", service=MODELS))
-    call = make_call(tried=["tried"])
+    call = make_call(tried_endpoints=["tried"])
     assert {choose(heartbeats, call, health, seed=s) for s in range(20)} == {"good"}
     assert choose([], call) is None
 
@@ -118,7 +118,7 @@
     assert again.heartbeat.endpoint == first.heartbeat.endpoint
     assert again.uncached_tokens == 3_000
     other = placement.choose(heartbeats, make_prompt_call("a", "small"), NOW)
-    assert other.is_guess
+    assert other.is_cache_assumed
     assert other.uncached_tokens > 3_000
 
 
--- a/tests/core/gateway/test_retries.py
+++ b/tests/core/gateway/test_retries.py
@@ -9,24 +9,26 @@
 
 
 def test_request_that_may_have_run_is_retried_only_on_a_retryable_route():
-    once = make_call(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=3), runs=1)
-    often = make_call(make_route(max_attempts=3), runs=1)
+    once = make_call(
+        make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=3), possible_executions=1
+    )
+    often = make_call(make_route(max_attempts=3), possible_executions=1)
     assert not may_retry(once, has_run=True, now=NOW)
     assert may_retry(often, has_run=True, now=NOW)
 
 
 def test_refused_request_is_retried_on_every_kind_of_route():
     call = make_call(make_route(kind=RouteKind.NON_IDEMPOTENT, max_attempts=1))
-    call.tried = [EndpointId("e-1")]
+    call.tried_endpoints = [EndpointId("e-1")]
     assert may_retry(call, has_run=False, now=NOW)
-    call.tried = [EndpointId(f"e-{at}") for at in range(3)]
+    call.tried_endpoints = [EndpointId(f"e-{at}") for at in range(3)]
     assert not may_retry(call, has_run=False, now=NOW)
 
 
 def test_attempts_and_deadline_limit_retries():
-    call = make_call(make_route(max_attempts=2), runs=2)
+    call = make_call(make_route(max_attempts=2), possible_executions=2)
     assert not may_retry(call, has_run=True, now=NOW)
-    late = make_call(make_route(max_attempts=2), runs=1)
+    late = make_call(make_route(max_attempts=2), possible_executions=1)
     assert not may_retry(late, has_run=True, now=Seconds(2.99))
 
 
--- a/tests/core/gateway/test_routing.py
+++ b/tests/core/gateway/test_routing.py
@@ -28,7 +28,7 @@
 
 def test_key_identifies_its_workspace():
     table = RoutingTable(make_configuration())
-    assert table.find_workspace("key-2").workspace == "circle"
+    assert table.find_workspace("key-2").name == "circle"
     assert table.find_workspace("key-3") is None
     assert table.find_workspace("") is None
 
--- a/tests/daemon/gateway/harness.py
+++ b/tests/daemon/gateway/harness.py
@@ -41,13 +41,13 @@
         model = find_field(headers, b"model") or ""
         return RequestMetadata(
             request=self.read_id(headers),
-            patience_seconds=float(find_field(headers, b"patience") or 3.0),
+            timeout_seconds=float(find_field(headers, b"patience") or 3.0),
             key=find_field(headers, b"key") or "",
             session=SessionId(find_field(headers, b"session") or ""),
             model=ModelName("" if model == "any" else model),
-            leaves_model_open=model == "any",
+            accepts_any_model=model == "any",
             expected_tokens=int(find_field(headers, b"expected") or 0),
-            last_event=find_field(headers, b"last") or "",
+            last_event_id=find_field(headers, b"last") or "",
         )
 
     def read_id(self, headers):
@@ -57,11 +57,11 @@
         dropped = (b"key", b"patience", b"last", b"workspace", b"model")
         kept = [item for item in headers if item[0] not in dropped]
         kept.append((b"endpoint", metadata.endpoint.encode()))
-        kept.append((b"patience", f"{metadata.patience_seconds:.3f}".encode()))
+        kept.append((b"patience", f"{metadata.timeout_seconds:.3f}".encode()))
         if metadata.workspace:
             kept.append((b"workspace", metadata.workspace.encode()))
-        if metadata.last_event:
-            kept.append((b"last", metadata.last_event.encode()))
+        if metadata.last_event_id:
+            kept.append((b"last", metadata.last_event_id.encode()))
         if metadata.model:
             kept.append((b"model", metadata.model.encode()))
         return kept
@@ -71,7 +71,7 @@
         return ResponseMetadata(
             request=self.read_id(headers),
             is_signed=find_field(headers, b"signed") is not None,
-            is_not_run=find_field(headers, b"not-run") is not None,
+            is_not_executed=find_field(headers, b"not-run") is not None,
             confidence=float(confidence) if confidence else None,
         )
 
--- a/tests/daemon/gateway/test_explanation.py
+++ b/tests/daemon/gateway/test_explanation.py
@@ -66,7 +66,7 @@
     harness = make_harness(one=lambda arrival: arrival.answer())
     assert harness.connect().call(id="q-before").status == 200
     harness.configuration = make_configuration(
-        number=9, holders=(GatewayWorkspace(WorkspaceId("circle"), ("key-2",)),)
+        number=9, workspaces=(GatewayWorkspace(WorkspaceId("circle"), ("key-2",)),)
     )
     harness.entry.dialect.configuration = harness.configuration
     harness.sync()
--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -463,7 +463,7 @@
     assert len(seen) == 2
     # While heartbeats arrive, an endpoint may take long to process a prompt.
     waiting = make_harness(
-        configure(**STREAM, objective_seconds=0.1), one=hang, two=hang
+        configure(**STREAM, latency_objective_seconds=0.1), one=hang, two=hang
     )
     waiting.connect().send(patience="20")
     sleep(1.2)
@@ -473,7 +473,7 @@
 def test_a_key_is_checked_again_before_a_retry(make_harness):
     def disconnect_and_revoke(arrival):
         harness.configuration = make_configuration(
-            number=9, holders=(GatewayWorkspace(WorkspaceId("circle"), ("other",)),)
+            number=9, workspaces=(GatewayWorkspace(WorkspaceId("circle"), ("other",)),)
         )
         harness.entry.dialect.configuration = harness.configuration
         harness.sync()
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -69,13 +69,13 @@
     assert configuration.number == 7
     assert route.host == "ficu95.example"
     assert route.kind is RouteKind.STREAMING
-    assert (route.timeout_seconds, route.objective_seconds) == (15.0, 4.0)
+    assert (route.timeout_seconds, route.latency_objective_seconds) == (15.0, 4.0)
     assert route.event_gap_seconds == 1.5
     assert [d.weight for d in route.destinations] == [90, 10]
     assert route.requires_key
     assert configuration.services[0].engine.model_costs == {"small": 0.0074}
     assert configuration.limits.header_bytes == 8192
-    assert configuration.holders[0].keys == ("a", "b")
+    assert configuration.workspaces[0].keys == ("a", "b")
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -30,14 +30,14 @@
 def test_request_headers_are_parsed():
     metadata = read_request_metadata(HEADERS)
     assert metadata.request == read_request_id(HEADERS) == "9c41"
-    assert metadata.patience_seconds == 1.5
+    assert metadata.timeout_seconds == 1.5
     assert metadata.key == "secret"
     assert metadata.session == "s-1"
-    assert metadata.leaves_model_open
+    assert metadata.accepts_any_model
     assert metadata.model == ""
     assert (metadata.prompt_tokens, metadata.output_tokens) == (1460, 80)
     assert metadata.prompt == (PromptPart("5c1e07a2", 800), PromptPart("91bd3f06", 410))
-    assert metadata.last_event == "12"
+    assert metadata.last_event_id == "12"
 
 
 @pytest.mark.parametrize("value", [b"soon", b"-1", b"nan", b"inf", b""])
@@ -49,11 +49,11 @@
 def test_reserved_fields_of_the_caller_are_replaced():
     metadata = ForwardMetadata(
         endpoint=EndpointId("i-1"),
-        patience_seconds=0.75,
+        timeout_seconds=0.75,
         workspace=WorkspaceId("circle"),
         model=ModelName("small"),
-        urgency=2,
-        last_event="14",
+        priority=2,
+        last_event_id="14",
     )
     fields = write_endpoint_headers(HEADERS, metadata)
     names = [name for name, _ in fields]
@@ -86,10 +86,14 @@
     signed = read_response_metadata(
         [(b"x-request-id", b"9"), (b"x-server-signature", b"3e")]
     )
-    assert (signed.request, signed.is_signed, signed.is_not_run) == ("9", True, False)
+    assert (signed.request, signed.is_signed, signed.is_not_executed) == (
+        "9",
+        True,
+        False,
+    )
     refused = read_response_metadata(
         [(b"x-not-executed", b"1"), (b"x-confidence", b"40")]
     )
-    assert (refused.is_signed, refused.is_not_run) == (False, True)
+    assert (refused.is_signed, refused.is_not_executed) == (False, True)
     assert refused.confidence == 0.4
     assert read_response_metadata([(b"x-confidence", b"high")]).confidence is None
--- a/tests/soak/variants/sends_twice.py
+++ b/tests/soak/variants/sends_twice.py
@@ -7,7 +7,7 @@
     from bergamotwood_daemon.gateway import forwarder
 
     def may_retry(call, has_run, now):
-        return len(call.tried) < 3
+        return len(call.tried_endpoints) < 3
 
     forwarder.may_retry = may_retry
 
