--- a/packages/core/src/bergamotwood_core/gateway/rollout.py
+++ b/packages/core/src/bergamotwood_core/gateway/rollout.py
@@ -241,12 +241,12 @@
 
     Parameters
     ----------
-    session_seconds : float
+    session_timeout_seconds : float
         Time without requests after which a session is closed.
     """
 
-    def __init__(self, session_seconds: float) -> None:
-        self._seconds = session_seconds
+    def __init__(self, session_timeout_seconds: float) -> None:
+        self._seconds = session_timeout_seconds
         self._seen: dict[tuple[ServiceName, SessionId], tuple[str, Seconds]] = {}
 
     def record(
--- a/packages/daemon/src/bergamotwood_daemon/gateway/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/daemon.py
@@ -52,9 +52,9 @@
         self._servers: list[HttpServer] = []
         self._caller_server: HttpServer | None = None
         self._peer_server: PeerServer | None = None
-        if settings.callers is not None:
+        if settings.caller_address is not None:
             self._make_entry(dialect)
-        if settings.control is not None:
+        if settings.control_address is not None:
             self._make_replica(dialect)
 
     def serve(self, listen: Address | None, handler: Handler) -> None:
@@ -111,7 +111,7 @@
         )
         forwarder = Forwarder(self.entry)
         self._caller_server = HttpServer(
-            self.settings.callers,
+            self.settings.caller_address,
             forwarder.handle,
             lambda: self.entry.control_state.limits,
             read_clock,
@@ -128,7 +128,9 @@
 
     def _shut_down(self) -> None:
         limit = (
-            read_clock() + self.settings.bounds.grace_seconds - SHUTDOWN_RESERVE_SECONDS
+            read_clock()
+            + self.settings.bounds.grace_period_seconds
+            - SHUTDOWN_RESERVE_SECONDS
         )
         if self.entry is not None:
             self._drain_callers(limit)
@@ -144,7 +146,7 @@
         self.entry.is_draining = True
         self.entry.poller.report_now()
         self._caller_server.is_closing = True
-        sleep(DRAIN_TTLS * self.settings.bounds.address_seconds)
+        sleep(DRAIN_TTLS * self.settings.bounds.address_ttl_seconds)
         self.entry.rejects_requests = True
         self._caller_server.stop_listening()
         self._caller_server.close_idle()
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
@@ -85,7 +85,7 @@
         self.latencies = LatencyTable()
         self.evidence = EvidenceCounter()
         self.suspects = SuspectTable()
-        self.sessions = SessionVersions(bounds.session_seconds)
+        self.sessions = SessionVersions(bounds.session_timeout_seconds)
         self.budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_seconds
         )
@@ -238,4 +238,4 @@
         )
 
     def _format_address(self) -> str:
-        return str(self.settings.callers)
+        return str(self.settings.caller_address)
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -320,7 +320,7 @@
 
     def handle_query(self, body: bytes) -> bytes:
         """Answer a read with the leader's confirmed state."""
-        self.group.read_barrier(self._settings.bounds.acknowledge_seconds)
+        self.group.read_barrier(self._settings.bounds.acknowledge_timeout_seconds)
         return ENCODER.encode(self._describe_state())
 
     def handle_poll(self, body: bytes) -> bytes:
@@ -434,7 +434,7 @@
         failure : str
             Detail of the error that is raised after the deadline.
         """
-        limit = self._clock() + self._settings.bounds.acknowledge_seconds
+        limit = self._clock() + self._settings.bounds.acknowledge_timeout_seconds
         while True:
             left = limit - self._clock()
             if left <= 0.0:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/settings.py
@@ -15,29 +15,29 @@
     ----------
     key_lease_seconds : float
         Configuration age up to which an entry accepts callers' keys.
-    grace_seconds : float
+    grace_period_seconds : float
         Time between SIGTERM and SIGKILL at shutdown.
-    address_seconds : float
+    address_ttl_seconds : float
         Time to live of the list of entries that callers get.
     retry_ratio, retry_extra, retry_window_seconds : float
         Retries allowed in each window: a fraction of the requests, plus a fixed
         number for the whole fleet.
-    session_seconds : float
+    session_timeout_seconds : float
         Longest pause between two requests of one session.
-    acknowledge_seconds : float
+    acknowledge_timeout_seconds : float
         Maximum time until one call of an operator is answered.
     heartbeat_seconds : float
         Interval between two heartbeats of an endpoint.
     """
 
     key_lease_seconds: float = 4.0
-    grace_seconds: float = 8.0
-    address_seconds: float = 1.0
+    grace_period_seconds: float = 8.0
+    address_ttl_seconds: float = 1.0
     retry_ratio: float = 0.5
     retry_extra: float = 10.0
     retry_window_seconds: float = 10.0
-    session_seconds: float = 5.0
-    acknowledge_seconds: float = 0.9
+    session_timeout_seconds: float = 5.0
+    acknowledge_timeout_seconds: float = 0.9
     heartbeat_seconds: float = 1.0
 
 
@@ -56,11 +56,11 @@
         Control replicas to contact first.
     bounds : GatewayBounds
         Time limits and retry ratios.
-    callers : Address or None
+    caller_address : Address or None
         Address at which an entry accepts requests; None if it is no entry.
-    readiness : Address or None
+    readiness_address : Address or None
         Address at which an entry serves readiness checks and metrics.
-    control : Address or None
+    control_address : Address or None
         Address for calls of operators and endpoints; None if it is no control
         replica.
     data_folder : Path or None
@@ -75,8 +75,8 @@
     data_centre: DataCentre
     seeds: tuple[InstanceId, ...]
     bounds: GatewayBounds = GatewayBounds()
-    callers: Address | None = None
-    readiness: Address | None = None
-    control: Address | None = None
+    caller_address: Address | None = None
+    readiness_address: Address | None = None
+    control_address: Address | None = None
     data_folder: Path | None = None
     forms_group: bool = False
--- a/tests/daemon/gateway/harness.py
+++ b/tests/daemon/gateway/harness.py
@@ -268,7 +268,7 @@
             "entry",
             "karen",
             (),
-            callers=Address("127.0.0.1", 0),
+            caller_address=Address("127.0.0.1", 0),
         )
         self.entry = GatewayEntry(
             settings,
--- a/tests/daemon/gateway/test_replica.py
+++ b/tests/daemon/gateway/test_replica.py
@@ -91,7 +91,7 @@
             str(seed),
             "karen",
             self.seeds,
-            control=Address("127.0.0.1", 0),
+            control_address=Address("127.0.0.1", 0),
             data_folder=self.folder / seed.replace(":", "-"),
             forms_group=forms_group,
         )
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -44,12 +44,12 @@
     settings = loaded.gateway
     assert settings.instance == "10.1.0.40:7340"
     assert settings.seeds == ("10.1.0.42:7340", "10.2.0.31:7340")
-    assert settings.callers == Address("10.1.0.40", 8227)
-    assert settings.control is None
+    assert settings.caller_address == Address("10.1.0.40", 8227)
+    assert settings.control_address is None
     assert settings.data_centre == "karen"
     assert settings.bounds.key_lease_seconds == 4.0
-    assert settings.bounds.grace_seconds == 8.0
-    assert settings.bounds.address_seconds == 0.8
+    assert settings.bounds.grace_period_seconds == 8.0
+    assert settings.bounds.address_ttl_seconds == 0.8
     assert settings.forms_group
     assert loaded.addresses == Address("10.1.0.40", 8224)
 
