--- a/packages/core/src/bergamotwood_core/gateway/placement.py
+++ b/packages/core/src/bergamotwood_core/gateway/placement.py
@@ -100,7 +100,7 @@
 
     Attributes
     ----------
-    silent : frozenset of EndpointId
+    silent_endpoints : frozenset of EndpointId
         Endpoints whose heartbeats are missing.
     """
 
@@ -114,7 +114,7 @@
         self.prefill_rate = PrefillRate()
         self.prefix_cache = PrefixCacheIndex()
         self._data_centre = data_centre
-        self.silent: frozenset[EndpointId] = frozenset()
+        self.silent_endpoints: frozenset[EndpointId] = frozenset()
         self._health = health
         self._find_load = find_load
         self._rng = rng
@@ -143,8 +143,11 @@
 
     def is_unresponsive(self, heartbeat: EndpointHeartbeat, now: Seconds) -> bool:
         """Whether an endpoint sends neither heartbeats nor answers to this entry."""
-        return heartbeat.endpoint in self.silent and self._health.is_unresponsive(
-            heartbeat.endpoint, heartbeat.incarnation, now
+        return (
+            heartbeat.endpoint in self.silent_endpoints
+            and self._health.is_unresponsive(
+                heartbeat.endpoint, heartbeat.incarnation, now
+            )
         )
 
     def estimate_prefill(self, candidate: Candidate, call: Call) -> float:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -115,7 +115,7 @@
     ) -> None:
         self.heartbeat = heartbeat
         self.started_at = entry.clock()
-        self.head_at = self.started_at
+        self.head_received_at = self.started_at
         self._entry = entry
         self._call = call
         self._request = request
@@ -182,7 +182,7 @@
         except ResponseTimeoutError as error:
             self._call.possible_executions += 1
             return MayHaveRun(str(error), AttemptResult.SILENT)
-        self.head_at = self._entry.clock()
+        self.head_received_at = self._entry.clock()
         return self._check_head(head)
 
     def receive(self, seconds: float) -> h11.Event:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/client.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/client.py
@@ -186,7 +186,7 @@
     def __init__(self, clock: Callable[[], Seconds]) -> None:
         self._clock = clock
         self._idle: dict[str, deque[EndpointConnection]] = {}
-        self.opened = 0
+        self.opened_connections = 0
 
     def acquire(self, address: str, must_be_new: bool) -> EndpointConnection:
         """Return an open connection to an endpoint.
@@ -212,7 +212,7 @@
             connection.close()
         connection = EndpointConnection(address, self._clock)
         connection.open()
-        self.opened += 1
+        self.opened_connections += 1
         return connection
 
     def release(self, connection: EndpointConnection) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
@@ -50,7 +50,7 @@
         self.crashes: tuple[Crash, ...] = ()
         self.successes: tuple[Success, ...] = ()
         self.rollouts: dict[ServiceName, RolloutView] = {}
-        self.silent: frozenset[EndpointId] = frozenset()
+        self.silent_endpoints: frozenset[EndpointId] = frozenset()
         self.open_sessions: frozenset[SessionId] = frozenset()
         self.replicas: tuple[InstanceId, ...] = ()
         self.boot = ""
@@ -128,7 +128,7 @@
         self.successes = reply.successes
         self._update_rollouts(reply)
         self.replicas = reply.replicas
-        self.silent = frozenset(reply.silent)
+        self.silent_endpoints = frozenset(reply.silent)
         if reply.number == self.number:
             confirmed_at = Seconds(requested_at - reply.age_seconds)
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entry.py
@@ -145,7 +145,7 @@
 
     def apply_reports(self) -> None:
         """Apply the newest reports of the control group and of other entries."""
-        self.placement.silent = self.control_state.silent
+        self.placement.silent_endpoints = self.control_state.silent_endpoints
         self.loads.set_others(self.control_state.loads)
         self.suspects.apply_reports(
             self.control_state.crashes, self.control_state.successes, self.clock()
@@ -195,9 +195,9 @@
             "endpoints": len(self.control_state.heartbeats),
             "entries": len(self.control_state.entries),
             "outstanding": self.loads.count_requests(),
-            "connections_opened_total": self.pool.opened,
+            "connections_opened_total": self.pool.opened_connections,
             "log_lines_dropped_total": count_dropped_lines(),
-            "silent_endpoints": len(self.control_state.silent),
+            "silent_endpoints": len(self.control_state.silent_endpoints),
         }
 
     def _make_status(self) -> EntryStatus:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -290,7 +290,7 @@
     ) -> None:
         entry = self._entry
         entry.loads.mark_prefilled(candidate.heartbeat.endpoint, call.metadata.request)
-        seconds = attempt.head_at - attempt.started_at
+        seconds = attempt.head_received_at - attempt.started_at
         entry.placement.record_answer_start(candidate, call, seconds)
 
     def _find_larger_model(
@@ -379,7 +379,7 @@
         seconds = self._entry.clock() - started_at
         if not isinstance(outcome, Delivered):
             return Timing(seconds, seconds)
-        return Timing(attempt.head_at - started_at, seconds, relay.events)
+        return Timing(attempt.head_received_at - started_at, seconds, relay.events)
 
     def _record_outcome(
         self,
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -217,7 +217,7 @@
     health = HealthTable()
     heartbeats = [make_heartbeat("unresponsive"), make_heartbeat("answering")]
     placement = make_placement(health)
-    placement.silent = frozenset(("unresponsive", "answering"))
+    placement.silent_endpoints = frozenset(("unresponsive", "answering"))
     now = Seconds(50.0)
     health.record_traffic("answering", 1, Seconds(49.5))
     chosen = {
--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -457,7 +457,7 @@
         return hang(arrival) if len(seen) == 1 else stream(arrival)
 
     harness = make_harness(configure(**STREAM), one=act, two=act)
-    harness.entry.placement.silent = frozenset(harness.endpoints)
+    harness.entry.placement.silent_endpoints = frozenset(harness.endpoints)
     reply = harness.connect().call(patience="20")
     assert list_ids(reply.body) == ["1", "2", "3", "4", "5", "6"]
     assert len(seen) == 2
