--- a/tests/daemon/gateway/harness.py
+++ b/tests/daemon/gateway/harness.py
@@ -41,7 +41,7 @@
         model = find_field(headers, b"model") or ""
         return RequestMetadata(
             request=self.read_id(headers),
-            timeout_seconds=float(find_field(headers, b"patience") or 3.0),
+            timeout_seconds=float(find_field(headers, b"timeout") or 3.0),
             key=find_field(headers, b"key") or "",
             session=SessionId(find_field(headers, b"session") or ""),
             model=ModelName("" if model == "any" else model),
@@ -54,10 +54,10 @@
         return RequestId(find_field(headers, b"id") or "")
 
     def write_forward(self, headers, metadata):
-        dropped = (b"key", b"patience", b"last", b"workspace", b"model")
+        dropped = (b"key", b"timeout", b"last", b"workspace", b"model")
         kept = [item for item in headers if item[0] not in dropped]
         kept.append((b"endpoint", metadata.endpoint.encode()))
-        kept.append((b"patience", f"{metadata.timeout_seconds:.3f}".encode()))
+        kept.append((b"timeout", f"{metadata.timeout_seconds:.3f}".encode()))
         if metadata.workspace:
             kept.append((b"workspace", metadata.workspace.encode()))
         if metadata.last_event_id:
@@ -71,7 +71,7 @@
         return ResponseMetadata(
             request=self.read_id(headers),
             is_signed=find_field(headers, b"signed") is not None,
-            is_not_executed=find_field(headers, b"not-run") is not None,
+            is_not_executed=find_field(headers, b"not-executed") is not None,
             confidence=float(confidence) if confidence else None,
         )
 
--- a/tests/daemon/gateway/test_explanation.py
+++ b/tests/daemon/gateway/test_explanation.py
@@ -35,7 +35,7 @@
     make_harness, logged, tmp_path
 ):
     def refuse(arrival):
-        arrival.answer("", 503, not_run="1")
+        arrival.answer("", 503, not_executed="1")
 
     harness = make_harness(configure(), one=refuse, two=refuse)
     assert harness.connect().call(id="q-full").status == 503
--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -13,7 +13,7 @@
 
 
 def refuse(arrival):
-    arrival.answer("", 503, not_run="1")
+    arrival.answer("", 503, not_executed="1")
 
 
 def disconnect(arrival):
@@ -45,7 +45,7 @@
     assert arrival.headers["endpoint"] == "one"
     assert arrival.headers["workspace"] == "circle"
     assert "key" not in arrival.headers
-    assert 0.0 < float(arrival.headers["patience"]) <= 3.0
+    assert 0.0 < float(arrival.headers["timeout"]) <= 3.0
 
 
 def test_requests_without_a_route_or_valid_key_are_refused_unsent(make_harness):
@@ -90,7 +90,7 @@
     route = configure(timeout_seconds=300.0)
     harness = make_harness(route, one=disconnect_and_age, two=disconnect_and_age)
     # The first attempt may have run, so the response must not be a refusal.
-    assert harness.connect().call(patience="300").status == 502
+    assert harness.connect().call(timeout="300").status == 502
     assert len(harness.list_arrivals()) == 1
 
 
@@ -200,16 +200,16 @@
 
 def test_a_request_without_an_answer_ends_at_the_routes_timeout(make_harness):
     harness = make_harness(configure(**ONCE, timeout_seconds=0.3), one=hang)
-    reply = harness.connect().call("POST", patience="30")
+    reply = harness.connect().call("POST", timeout="30")
     assert reply.status == 504
-    patience = float(harness.list_arrivals()[0].headers["patience"])
-    assert patience <= 0.3
+    timeout = float(harness.list_arrivals()[0].headers["timeout"])
+    assert timeout <= 0.3
 
 
 def test_the_endpoint_connection_closes_when_the_caller_disconnects(make_harness):
     harness = make_harness(one=hang)
     caller = harness.connect()
-    caller.send(patience="30")
+    caller.send(timeout="30")
     harness.endpoints["one"].arrived.wait(5.0)
     caller.close()
     with Timeout(5.0):
@@ -301,7 +301,7 @@
 
     harness = make_harness(configure(**STREAM), one=act)
     caller = harness.connect()
-    caller.send(patience="20")
+    caller.send(timeout="20")
     assert list_ids(caller.read_events(2)) == ["1", "2"]
     released.append(True)
     reply = caller.read()
@@ -322,7 +322,7 @@
         return False
 
     harness = make_harness(configure(**STREAM), one=act, two=act)
-    reply = harness.connect().call(patience="20")
+    reply = harness.connect().call(timeout="20")
     assert list_ids(reply.body) == ["1", "2", "3", "4", "5", "6"]
     assert reply.is_whole
     assert reply.headers["server"] == "first"
@@ -342,7 +342,7 @@
         arrival.end_events()
 
     harness = make_harness(configure(**STREAM), one=act, two=act)
-    reply = harness.connect().call(patience="20")
+    reply = harness.connect().call(timeout="20")
     assert list_ids(reply.body) == ["1", "2", "3", "4", "5"]
 
 
@@ -358,7 +358,7 @@
         return hang(arrival)
 
     harness = make_harness(configure(**STREAM), one=act, two=act)
-    reply = harness.connect().call(patience="20")
+    reply = harness.connect().call(timeout="20")
     assert list_ids(reply.body) == ["1", "2", "3", "4", "5", "6"]
     assert reply.is_whole
 
@@ -371,7 +371,7 @@
 
     route = configure(**{**STREAM, "resumable": False})
     harness = make_harness(route, one=act, two=act)
-    reply = harness.connect().call(patience="20")
+    reply = harness.connect().call(timeout="20")
     assert list_ids(reply.body) == ["1", "2", "3"]
     assert not reply.is_whole
     assert len(harness.list_arrivals()) == 1
@@ -385,7 +385,7 @@
         arrival.end_events()
 
     harness = make_harness(configure(**STREAM), one=act)
-    reply = harness.connect().call(patience="2")
+    reply = harness.connect().call(timeout="2")
     assert list_ids(reply.body) == ["1", "2"]
     assert not reply.is_whole
 
@@ -412,7 +412,7 @@
 
 def test_a_low_confidence_answer_is_replaced_by_a_larger_model(make_harness):
     harness = make_two_model_harness(make_harness)
-    reply = harness.connect().call(patience="20", model="any")
+    reply = harness.connect().call(timeout="20", model="any")
     assert "data: large" in reply.body
     assert "data: small" not in reply.body
     assert list_ids(reply.body) == ["1", "2", "3"]
@@ -425,10 +425,10 @@
         # Ten events of ten tokens each, one every half second.
         timing = Timing(0.5, 5.5, 10)
         harness.entry.latencies.record(route, ModelName("large"), timing, 100)
-    long = harness.connect().call(patience="20", model="any", expected="400")
+    long = harness.connect().call(timeout="20", model="any", expected="400")
     assert "data: small" in long.body
     assert list_ids(long.body) == ["1", "2", "3"]
-    short = harness.connect().call(patience="20", model="any", expected="50")
+    short = harness.connect().call(timeout="20", model="any", expected="50")
     assert "data: large" in short.body
 
 
@@ -458,14 +458,14 @@
 
     harness = make_harness(configure(**STREAM), one=act, two=act)
     harness.entry.placement.silent_endpoints = frozenset(harness.endpoints)
-    reply = harness.connect().call(patience="20")
+    reply = harness.connect().call(timeout="20")
     assert list_ids(reply.body) == ["1", "2", "3", "4", "5", "6"]
     assert len(seen) == 2
     # While heartbeats arrive, an endpoint may take long to process a prompt.
     waiting = make_harness(
         configure(**STREAM, latency_objective_seconds=0.1), one=hang, two=hang
     )
-    waiting.connect().send(patience="20")
+    waiting.connect().send(timeout="20")
     sleep(1.2)
     assert len(waiting.list_arrivals()) == 1
 
--- a/tests/daemon/gateway/test_server.py
+++ b/tests/daemon/gateway/test_server.py
@@ -174,7 +174,7 @@
     )
     harness = make_harness(make_configuration(routes=routes), one=act)
     caller = harness.connect()
-    caller.send(patience="20")
+    caller.send(timeout="20")
     caller.read_events(1)
     harness.server.is_closing = True
     harness.server.close_idle()
