--- a/tests/daemon/gateway/test_explanation.py
+++ b/tests/daemon/gateway/test_explanation.py
@@ -35,7 +35,7 @@
     make_harness, logged, tmp_path
 ):
     def refuse(arrival):
-        arrival.answer("", 503, not_run="1")
+        arrival.answer("", 503, not_executed="1")
 
     harness = make_harness(configure(), one=refuse, two=refuse)
     assert harness.connect().call(id="q-full").status == 503
@@ -66,7 +66,7 @@
     harness = make_harness(one=lambda arrival: arrival.answer())
     assert harness.connect().call(id="q-before").status == 200
     harness.configuration = make_configuration(
-        number=9, holders=(GatewayWorkspace(WorkspaceId("circle"), ("key-2",)),)
+        number=9, workspaces=(GatewayWorkspace(WorkspaceId("circle"), ("key-2",)),)
     )
     harness.entry.dialect.configuration = harness.configuration
     harness.sync()
