--- a/packages/core/src/bergamotwood_core/announcement.py
+++ b/packages/core/src/bergamotwood_core/announcement.py
@@ -46,14 +46,14 @@
         fields.
     """
     if len(body) > MAX_ANNOUNCEMENT_BYTES:
-        limit = f"{len(body)} bytes, at most {MAX_ANNOUNCEMENT_BYTES}"
+        limit = f"at most {MAX_ANNOUNCEMENT_BYTES} bytes"
         raise RequestError(f"announcement: {limit}", Code.ANNOUNCEMENT_INVALID)
     try:
         announcement = _ANNOUNCEMENTS.decode(body)
     except (ValidationError, DecodeError, UnicodeDecodeError) as error:
         raise RequestError(f"announcement: {error}", Code.ANNOUNCEMENT_INVALID)
     except RecursionError:
-        raise RequestError("announcement: nested too deeply", Code.ANNOUNCEMENT_INVALID)
+        raise RequestError("announcement: nested", Code.ANNOUNCEMENT_INVALID)
     faults = list(_find_faults(announcement))
     if faults:
         raise RequestError("; ".join(faults), Code.ANNOUNCEMENT_INVALID)
@@ -88,7 +88,7 @@
     try:
         ip_address(address.host)
     except ValueError:
-        yield "address.host: must be an IP address"
+        yield "address.host: must be an IP number"
     if not 1 <= address.port <= MAX_PORT:
         yield f"address.port: must be from 1 to {MAX_PORT}"
 
--- a/packages/core/src/bergamotwood_core/control.py
+++ b/packages/core/src/bergamotwood_core/control.py
@@ -219,7 +219,7 @@
         record = self.records.get(number)
         newest = self.tables.ticket
         if record is None:
-            fault = f"number {number} must be above {newest}, the newest accepted"
+            fault = f"number {number} is not above {newest}, the newest accepted"
             return TicketAnswer(number, TicketOutcome.STALE, faults=(fault,))
         if record.digest == digest:
             return TicketAnswer(number, TicketOutcome.REPEATED, record.index)
--- a/packages/core/src/bergamotwood_core/dispatch.py
+++ b/packages/core/src/bergamotwood_core/dispatch.py
@@ -59,9 +59,7 @@
         left, is leaving or has not loaded the target, or the request is quarantined.
     """
     if config_age > max_config_age:
-        detail = (
-            f"configuration is {config_age:.1f} s old, limit {max_config_age:.1f} s"
-        )
+        detail = f"configuration is {config_age:.1f} s old"
         raise RefusedError(detail, Code.CONFIG_STALE, retry_after=1.0)
     _check_rights(tables.configuration, workspace, target)
     _check_endpoint(tables.directory, target, endpoint)
@@ -74,9 +72,7 @@
     """Check that the workspace may currently use the target."""
     entity = tables.workspaces.get(workspace)
     if entity is None:
-        raise AuthorizationError(
-            f"workspace {workspace} no longer exists", Code.FORBIDDEN
-        )
+        raise AuthorizationError(f"workspace {workspace} is gone", Code.FORBIDDEN)
     match target:
         case VersionTarget(version):
             if version not in entity.versions:
@@ -102,7 +98,7 @@
     """Check that an endpoint still accepts work for the target."""
     endpoint = directory.endpoints.get(id_)
     if endpoint is None or not endpoint.serving:
-        raise _make_endpoint_error(f"endpoint {id_} has left or is leaving")
+        raise _make_endpoint_error(f"endpoint {id_} has left")
     if not _runs_target(endpoint, target):
         raise _make_endpoint_error(f"endpoint {id_} has not loaded {target.name}")
 
--- a/packages/core/src/bergamotwood_core/document.py
+++ b/packages/core/src/bergamotwood_core/document.py
@@ -122,7 +122,7 @@
         return joined
     names = [name for name, _ in pairs]
     repeated = sorted({name for name in names if names.count(name) > 1})
-    raise DocumentError(tuple(f"duplicate key {name!r}" for name in repeated))
+    raise DocumentError(tuple(f"key {name!r} stands twice" for name in repeated))
 
 
 def _load_yaml(text: str) -> Any:
@@ -171,5 +171,5 @@
     for key, _ in node.value:
         name = str(key.value)
         if name in seen:
-            yield f"line {key.start_mark.line + 1}: duplicate key {name!r}"
+            yield f"line {key.start_mark.line + 1}: key {name!r} stands twice"
         seen.add(name)
--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -88,9 +88,7 @@
         if entry.index <= log.start or log.find_term(entry.index) == entry.term:
             continue
         if entry.index <= state.commit:
-            raise LogCorruptError(
-                f"the leader sent another entry for committed index {entry.index}"
-            )
+            raise LogCorruptError(f"committed entry {entry.index} contradicted")
         state.append_entries(entries[at:])
         return
 
--- a/packages/core/src/bergamotwood_core/gateway/configuration.py
+++ b/packages/core/src/bergamotwood_core/gateway/configuration.py
@@ -209,7 +209,7 @@
     )
     for (host, prefix), count in locations.items():
         if count > 1:
-            yield f"{count} routes have the same host and prefix {host}{prefix}"
+            yield f"{count} routes at {host}{prefix}"
 
 
 def _find_shared_keys(configuration: GatewayConfiguration) -> Iterator[str]:
--- a/packages/core/src/bergamotwood_core/gateway/state_machine.py
+++ b/packages/core/src/bergamotwood_core/gateway/state_machine.py
@@ -209,7 +209,7 @@
 
     def _replace_configuration(self, command: ReplaceConfiguration) -> CommandOutcome:
         if command.number <= self.state.number:
-            reason = f"configuration {self.state.number} is in force"
+            reason = f"configuration {self.state.number} holds"
             return CommandOutcome(True, False, reason)
         self.state.number = command.number
         self.state.document = command.document
--- a/packages/core/src/bergamotwood_core/messages.py
+++ b/packages/core/src/bergamotwood_core/messages.py
@@ -34,7 +34,7 @@
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal():
-        raise ValueError(f"invalid address, expected host:port: {text!r:.60}")
+        raise ValueError(f"not an address with a port: {text!r:.60}")
     return Address(host, int(port))
 
 
--- a/packages/core/src/bergamotwood_core/quarantine.py
+++ b/packages/core/src/bergamotwood_core/quarantine.py
@@ -108,9 +108,7 @@
     """
     match check_fingerprint(suspects, fingerprint):
         case Quarantined(crashes):
-            detail = (
-                f"request is quarantined: {crashes} endpoints crashed while running it"
-            )
+            detail = f"request is quarantined: {crashes} endpoints crashed under it"
             raise RefusedError(detail, Code.QUARANTINED)
         case clearance:
             return clearance
--- a/packages/core/src/bergamotwood_core/reference.py
+++ b/packages/core/src/bergamotwood_core/reference.py
@@ -72,7 +72,7 @@
 def _find_model_faults(model: Model) -> Iterator[str]:
     place = f"model {model.name}"
     for name in find_repeated(version.id for version in model.versions):
-        yield f"{place}: duplicate version {name}"
+        yield f"{place}: version {name} stands twice"
     for version in model.versions:
         if version.id.partition(":")[0] != model.name:
             yield f"{place}: version {version.id} must begin with '{model.name}:'"
@@ -90,7 +90,7 @@
     if cascade.name in tables.models:
         yield f"{place}: a model has the same name"
     for name in find_repeated(cascade.models):
-        yield f"{place}: duplicate model {name}"
+        yield f"{place}: model {name} stands twice"
     for name in cascade.models:
         if name not in tables.models:
             yield f"{place}: unknown model {name}"
@@ -152,7 +152,7 @@
 ) -> Iterator[str]:
     place = f"rollout {rollout.name}"
     if list(rollout.stages) != sorted(set(rollout.stages)):
-        yield f"{place}: stages must increase"
+        yield f"{place}: stages must rise"
     if rollout.stages[-1] != 1.0:
         yield f"{place}: the last stage must be 1"
     model = tables.models.get(rollout.model)
@@ -163,11 +163,11 @@
         return
     version = tables.versions.get(VersionId(rollout.candidate))
     if version is None or version not in model.versions:
-        yield f"{place}: candidate {rollout.candidate} is not a version of the model"
+        yield f"{place}: candidate {rollout.candidate} is no version of the model"
     elif version.state is VersionState.WITHDRAWN:
         yield f"{place}: candidate {rollout.candidate} is withdrawn"
     if rollout.candidate == model.current:
-        yield f"{place}: candidate {rollout.candidate} is already the current version"
+        yield f"{place}: candidate {rollout.candidate} is current already"
 
 
 def _find_rollout_conflicts(tables: ConfigurationTables) -> Iterator[str]:
--- a/packages/core/src/bergamotwood_core/replica.py
+++ b/packages/core/src/bergamotwood_core/replica.py
@@ -190,7 +190,7 @@
             When the change is not possible with the current members.
         """
         if not can_change_membership(self.state):
-            raise NotLeaderError("the replica cannot change members now", self.leader)
+            raise NotLeaderError("no change of members now", self.leader)
         append_membership(self.state, change)
         broadcast(self.state, now)
 
--- a/packages/core/src/bergamotwood_core/segment.py
+++ b/packages/core/src/bergamotwood_core/segment.py
@@ -101,7 +101,7 @@
         """Choose an option of the mix; each is chosen in proportion to its share."""
         mix = self.mix
         if mix is None:
-            raise ValueError("segment has no allocation")
+            raise ValueError("segment without an allocation")
         self.credit += mix.share
         if self.credit < 1.0:
             return mix.low
@@ -112,7 +112,7 @@
         """Choose an option of the unrated mix, likewise in proportion to the shares."""
         mix = self.unrated_mix
         if mix is None:
-            raise ValueError("segment has no allocation")
+            raise ValueError("segment without an allocation")
         self.unrated_credit += mix.share
         if self.unrated_credit < 1.0:
             return mix.low
--- a/packages/core/src/bergamotwood_core/session.py
+++ b/packages/core/src/bergamotwood_core/session.py
@@ -48,15 +48,13 @@
     """
     parts = session.split(SEPARATOR)
     if len(session) > MAX_SESSION_CHARACTERS or len(parts) != 3:
-        raise RequestError("session id is malformed", Code.SESSION_INVALID)
+        raise RequestError("session id has the wrong form", Code.SESSION_INVALID)
     version, nonce, mac = parts
     expected = _sign(version, nonce, secret)
     if not compare_digest(expected.encode(), mac.encode(errors="replace")):
-        raise RequestError("session id has an invalid signature", Code.SESSION_INVALID)
+        raise RequestError("session id is not genuine", Code.SESSION_INVALID)
     if not _VERSION.match(version):
-        raise RequestError(
-            "session id contains an invalid version", Code.SESSION_INVALID
-        )
+        raise RequestError("session id names no version", Code.SESSION_INVALID)
     return VersionId(version)
 
 
--- a/packages/core/src/bergamotwood_core/stream.py
+++ b/packages/core/src/bergamotwood_core/stream.py
@@ -120,15 +120,13 @@
         if attempt is not None and attempt != self.attempt:
             return ()
         if chunk.request != self.request:
-            raise _make_stream_error(f"received a chunk of request {chunk.request}")
+            raise _make_stream_error(f"a chunk of request {chunk.request}")
         if self._done_seen:
-            raise _make_stream_error("received a chunk after the end marker")
+            raise _make_stream_error("a chunk after the end marker")
         if chunk.index < self.next_index or chunk.index in self._held_chunks:
             return self._drop_repeated_chunk()
         if chunk.index > self.next_index + self.limits.max_reorder_distance:
-            raise _make_stream_error(
-                f"received chunk {chunk.index}, expected {self.next_index}"
-            )
+            raise _make_stream_error(f"chunk {chunk.index}, expected {self.next_index}")
         self._repeats = 0
         if chunk.index > self.next_index:
             self._held_chunks[chunk.index] = chunk
@@ -184,13 +182,11 @@
     def _advance(self, chunk: Chunk) -> None:
         """Account for the chunk with the next index."""
         if self.finish_reason is not None and chunk.is_token:
-            raise _make_stream_error("received a token after the finish reason")
+            raise _make_stream_error("a token after the finish reason")
         if chunk.is_token:
             self.tokens += 1
         if self.tokens > self.limits.max_tokens:
-            raise EndpointError(
-                f"answer exceeds {self.limits.max_tokens} tokens", Code.ANSWER_TOO_LARGE
-            )
+            raise EndpointError("answer is too long", Code.ANSWER_TOO_LARGE)
         self.next_index += 1
         self.finish_reason = chunk.finish_reason or self.finish_reason
         self.usage = chunk.usage or self.usage
@@ -209,9 +205,7 @@
         """Drop a repeated chunk, up to the limit of consecutive repeats."""
         self._repeats += 1
         if self._repeats > self.limits.max_repeats:
-            raise _make_stream_error(
-                f"received more than {self.limits.max_repeats} repeated chunks"
-            )
+            raise _make_stream_error("only repeated chunks")
         return ()
 
     def _explain_end(self) -> str:
@@ -221,10 +215,8 @@
         if self._held_chunks:
             return f"chunk {self.next_index} is missing"
         if self.finish_reason is None or self.usage is None:
-            return "end marker without finish reason or usage"
-        return (
-            f"received {self.tokens} tokens, usage has {self.usage.completion_tokens}"
-        )
+            return "end marker without finish reason and usage"
+        return f"{self.tokens} tokens came of {self.usage.completion_tokens}"
 
 
 def _make_stream_error(detail: str) -> EndpointError:
--- a/packages/core/src/bergamotwood_core/ticket.py
+++ b/packages/core/src/bergamotwood_core/ticket.py
@@ -155,7 +155,7 @@
     for rollout in ticket.rollouts:
         if rollout.state is RolloutState.COMPLETED:
             yield (
-                f"rollout {rollout.name}: state completed cannot be requested; "
+                f"rollout {rollout.name}: completed cannot be asked for; "
                 "set the model's current version"
             )
 
--- a/tests/core/test_ticket.py
+++ b/tests/core/test_ticket.py
@@ -81,8 +81,8 @@
 @pytest.mark.parametrize(
     ("text", "phrase"),
     [
-        ("number: 1\nnumber: 2\n", "duplicate key 'number'"),
-        ('{"number": 1, "number": 2}', "duplicate key 'number'"),
+        ("number: 1\nnumber: 2\n", "key 'number' stands twice"),
+        ('{"number": 1, "number": 2}', "key 'number' stands twice"),
         ("number: &a 1\nnote: *a\n", "aliases"),
         ("number: 1\nnote: [}", "line 2"),
         ("[" * 5_000, "nesting"),
@@ -151,17 +151,17 @@
         ),
         (
             {"rollouts": [build_rollout(candidate="small:9")]},
-            "is not a version of the model",
+            "is no version of the model",
         ),
         (
             {"rollouts": [build_rollout(candidate="small:1")]},
-            "is already the current version",
+            "is current already",
         ),
-        ({"rollouts": [build_rollout(stages=[0.5, 0.1])]}, "stages must increase"),
+        ({"rollouts": [build_rollout(stages=[0.5, 0.1])]}, "stages must rise"),
         ({"rollouts": [build_rollout(stages=[0.5])]}, "last stage must be 1"),
         (
             {"rollouts": [build_rollout(state="completed")]},
-            "completed cannot be requested",
+            "completed cannot be asked for",
         ),
         (
             {"rollouts": [build_rollout(), build_rollout(name="s")]},
