--- a/packages/daemon/src/bergamotwood_daemon/answer.py
+++ b/packages/daemon/src/bergamotwood_daemon/answer.py
@@ -155,7 +155,7 @@
                 break
             if self._entry.clock() >= self._context.deadline:
                 raise EndpointError(
-                    "the deadline passed before the end of the answer",
+                    "the deadline passed before the end",
                     Code.DEADLINE_EXCEEDED,
                 )
             for chunk in self._assembler.accept(_decode_chunk(event)):
@@ -217,7 +217,7 @@
         choice = decoded.choices[0] if decoded.choices else _Choice()
         delta = _DELTAS.decode(choice.delta)
     except (DecodeError, ValidationError) as error:
-        raise EndpointError(f"invalid chunk: {error}", Code.STREAM_BROKEN) from error
+        raise EndpointError(f"not a chunk: {error}", Code.STREAM_BROKEN) from error
     return Chunk(
         RequestId(decoded.id),
         decoded.index,
--- a/packages/daemon/src/bergamotwood_daemon/attempts.py
+++ b/packages/daemon/src/bergamotwood_daemon/attempts.py
@@ -272,7 +272,7 @@
     if context.is_suspect and not attempt.isolate():
         attempt.cancel()
         raise RefusedError(
-            "a request suspected of crashing endpoints is already running",
+            "a request under suspicion is running already",
             Code.OVERLOADED,
             retry_after=1.0,
         )
--- a/packages/daemon/src/bergamotwood_daemon/authorization.py
+++ b/packages/daemon/src/bergamotwood_daemon/authorization.py
@@ -44,7 +44,7 @@
 def _hash_key(request: WebRequest) -> str:
     key = request.read_bearer_token()
     if not key:
-        raise AuthorizationError("authorization: bearer key required")
+        raise AuthorizationError("authorization: bearer key needed")
     return sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
--- a/packages/daemon/src/bergamotwood_daemon/billing.py
+++ b/packages/daemon/src/bergamotwood_daemon/billing.py
@@ -15,10 +15,10 @@
 from bergamotwood_daemon.tracing import Trace
 
 _REFUSALS = {
-    BillOutcome.CONFLICT: (Code.KEY_CONFLICT, "its key was used for another request"),
-    BillOutcome.EXPIRED: (Code.KEY_EXPIRED, "its key has expired"),
-    BillOutcome.FULL: (Code.LEDGER_UNAVAILABLE, "the ledger cannot store more keys"),
-    BillOutcome.INVALID: (Code.INTERNAL, "the ledger rejected it"),
+    BillOutcome.CONFLICT: (Code.KEY_CONFLICT, "its key stands for another request"),
+    BillOutcome.EXPIRED: (Code.KEY_EXPIRED, "its key is too old"),
+    BillOutcome.FULL: (Code.LEDGER_UNAVAILABLE, "the ledger has no room for its key"),
+    BillOutcome.INVALID: (Code.INTERNAL, "the ledger refused it"),
 }
 
 
--- a/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -102,9 +102,7 @@
             fallback = step_answer
         if fallback is not None:
             return fallback
-        raise failure or RefusedError(
-            "no version can answer the request", Code.NO_ENDPOINT
-        )
+        raise failure or RefusedError("no version may answer", Code.NO_ENDPOINT)
 
     def prepare_answer(
         self, call: ChatCall, version: VersionId, number: int = 0
@@ -112,9 +110,7 @@
         """Prepare the answer of one version; nothing is sent yet."""
         entity = self._entry.tables.configuration.versions.get(version)
         if entity is None:
-            raise RefusedError(
-                f"version {version} no longer exists", Code.VERSION_WITHDRAWN
-            )
+            raise RefusedError(f"version {version} is gone", Code.VERSION_WITHDRAWN)
         answer = VersionAnswer(self._entry, call.context, entity, call.document)
         key = EstimateKey(
             call.context.workspace.key, call.request_class, version, number > 0
--- a/packages/daemon/src/bergamotwood_daemon/chat.py
+++ b/packages/daemon/src/bergamotwood_daemon/chat.py
@@ -65,7 +65,7 @@
         plan = self._cascade_runner.plan(call)
         if not call.context.idempotent and call.key is None:
             raise RequestError(
-                "idempotency-key: required for a non-idempotent request",
+                "idempotency-key: needed for a non-idempotent request",
                 Code.KEY_REQUIRED,
             )
         index = self._entry.watch.applied
--- a/packages/daemon/src/bergamotwood_daemon/chatcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/chatcall.py
@@ -137,7 +137,7 @@
         return None
     if not 1 <= len(key) <= MAX_KEY_CHARACTERS or not key.isprintable():
         raise RequestError(
-            f"idempotency-key: must be 1 to {MAX_KEY_CHARACTERS} printable characters"
+            f"idempotency-key: 1 to {MAX_KEY_CHARACTERS} printable characters"
         )
     return IdempotencyKey(key)
 
@@ -213,7 +213,7 @@
 def _read_prompt(document: dict[str, Any]) -> str:
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise RequestError("messages: a list of at least one message is required")
+        raise RequestError("messages: a list of at least one message is needed")
     if not all(isinstance(message, dict) for message in messages):
         raise RequestError("messages: each must be an object")
     pieces = []
@@ -229,7 +229,7 @@
     tables: ConfigurationTables, workspace: Workspace, name: Any
 ) -> tuple[tuple[ModelName, ...], VersionId | None]:
     if not isinstance(name, str):
-        raise RequestError("model: the name of a model, version or cascade is required")
+        raise RequestError("model: the name of a model, version or cascade is needed")
     cascade = tables.cascades.get(CascadeName(name))
     if cascade is not None and name in workspace.cascades:
         return tuple(ModelName(model) for model in cascade.models), None
@@ -253,7 +253,7 @@
     version = read_session(context.session, entry.secret)
     if version.partition(":")[0] not in models:
         raise RequestError(
-            f"session: bound to {version}, which the request does not name",
+            f"session: it is on {version}, which the request does not name",
             Code.SESSION_INVALID,
         )
     return version
@@ -274,8 +274,7 @@
         seconds = 0.0
     if not 0.0 < seconds <= MAX_DEADLINE_SECONDS:
         raise RequestError(
-            "bergamotwood-deadline-seconds: must be above 0 and at most "
-            f"{MAX_DEADLINE_SECONDS}"
+            f"bergamotwood-deadline-seconds: above 0, at most {MAX_DEADLINE_SECONDS}"
         )
     return seconds
 
@@ -285,7 +284,5 @@
     if name is None:
         return Priority.NORMAL
     if name not in PRIORITIES:
-        raise RequestError(
-            f"bergamotwood-priority: must be one of {', '.join(PRIORITIES)}"
-        )
+        raise RequestError(f"bergamotwood-priority: one of {', '.join(PRIORITIES)}")
     return PRIORITIES[name]
--- a/packages/daemon/src/bergamotwood_daemon/claims.py
+++ b/packages/daemon/src/bergamotwood_daemon/claims.py
@@ -133,7 +133,7 @@
         """Refuse new requests while too many ledger commands are unconfirmed."""
         if self.unconfirmed_commands >= MAX_UNCONFIRMED_COMMANDS:
             raise RefusedError(
-                "too many claims and bills are waiting to be committed",
+                "too many claims and bills are not settled yet",
                 Code.LEDGER_UNAVAILABLE,
                 retry_after=5.0,
             )
@@ -172,7 +172,7 @@
             return outcome.get(timeout=wait_seconds)
         except Timeout as error:
             raise IdempotencyError(
-                f"no answer within {wait_seconds} s; the request is still running",
+                f"no answer within {wait_seconds} s; the run goes on",
                 Code.OUTCOME_UNKNOWN,
                 Run.MAY_HAVE_RUN,
                 retry_after=wait_seconds,
@@ -258,34 +258,34 @@
     match answer:
         case Held():
             return IdempotencyError(
-                f"key {key}: a request with this key is already running",
+                f"key {key}: another request with it is running",
                 Code.IN_PROGRESS,
                 Run.MAY_HAVE_RUN,
                 retry_after=1.0,
             )
         case Unknown():
             return IdempotencyError(
-                f"key {key}: it is not known whether its request ran",
+                f"key {key}: it is not known whether it ran",
                 Code.OUTCOME_UNKNOWN,
                 Run.MAY_HAVE_RUN,
             )
         case Expired():
             return IdempotencyError(
-                f"key {key}: too old to tell whether its request ran",
+                f"key {key}: too old to tell whether it ran",
                 Code.KEY_EXPIRED,
                 Run.MAY_HAVE_RUN,
             )
         case Conflict():
-            return IdempotencyError(f"key {key}: already used for a different request")
+            return IdempotencyError(f"key {key}: used for another request")
         case Full() | Released() | Refused():
             return IdempotencyError(
-                f"key {key}: the ledger cannot accept the claim now",
+                f"key {key}: the ledger cannot take it now",
                 Code.LEDGER_UNAVAILABLE,
                 retry_after=1.0,
             )
         case _:
             return IdempotencyError(
-                f"key {key}: its request ran but the answer is not stored",
+                f"key {key}: it ran but its answer is not kept",
                 Code.ANSWER_NOT_KEPT,
                 Run.RAN,
             )
--- a/packages/daemon/src/bergamotwood_daemon/crashes.py
+++ b/packages/daemon/src/bergamotwood_daemon/crashes.py
@@ -86,7 +86,7 @@
             case WaitFor(seconds):
                 if now + seconds >= context.deadline:
                     raise RefusedError(
-                        "a suspected request must wait for the result of a retry",
+                        "a request under suspicion waits for another's retry",
                         Code.DEADLINE_EXCEEDED,
                         retry_after=seconds,
                     )
--- a/packages/daemon/src/bergamotwood_daemon/endpointcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/endpointcall.py
@@ -103,7 +103,7 @@
             self._socket.sendall(self._head + self._body)
         except OSError as error:
             raise EndpointError(
-                f"{self._address}: sending the request failed: {error}"
+                f"{self._address} closed the connection: {error}"
             ) from error
         while not self._response.headers_complete:
             self._receive()
@@ -166,7 +166,7 @@
                     yield event[len(EVENT_PREFIX) :].strip()
             if len(buffered) > MAX_EVENT_BYTES:
                 raise EndpointError(
-                    f"{self._address}: event larger than {MAX_EVENT_BYTES} bytes",
+                    f"{self._address}: event too large",
                     Code.STREAM_BROKEN,
                 )
 
@@ -182,18 +182,16 @@
             data = self._socket.recv(RECEIVE_BYTES)
         except timeout as error:
             raise EndpointError(
-                f"{self._address}: no data before the time-out", Code.STREAM_SILENT
+                f"{self._address} stayed silent", Code.STREAM_SILENT
             ) from error
         except OSError as error:
             raise self._make_broken_error(str(error)) from error
         if not data and not self._ends_with_connection():
-            raise self._make_broken_error(
-                "connection closed before the end of the response"
-            )
+            raise self._make_broken_error("closed early")
         try:
             self._response.feed(data)
         except HTTPParseError as error:
-            raise self._make_broken_error(f"invalid HTTP response: {error}") from error
+            raise self._make_broken_error(f"not HTTP: {error}") from error
 
     def _ends_with_connection(self) -> bool:
         return (
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -152,7 +152,7 @@
                 size += len(event.data)
                 if size > MAX_RESPONSE_BYTES:
                     return MayHaveRun(
-                        f"response exceeds {MAX_RESPONSE_BYTES} bytes",
+                        "answer too large",
                         AttemptResult.BROKEN,
                     )
         except ConnectionBrokenError as error:
@@ -247,17 +247,15 @@
             if head.status_code == MISDIRECTED_REQUEST:
                 result = AttemptResult.REPLACED
             return NotRun(
-                f"endpoint refused with status {head.status_code}",
+                f"refused with {head.status_code}",
                 result,
                 was_sent=True,
             )
         self._call.possible_executions += 1
         if not metadata.is_signed or metadata.request != self._call.metadata.request:
-            return MayHaveRun(
-                "response is unsigned or for another request", AttemptResult.BROKEN
-            )
+            return MayHaveRun("response of another request", AttemptResult.BROKEN)
         if any(name == b"content-encoding" for name, _ in head.headers):
-            return MayHaveRun("response body is encoded", AttemptResult.BROKEN)
+            return MayHaveRun("response with an encoding", AttemptResult.BROKEN)
         return head
 
     def _compute_head_timeout(self) -> float:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/client.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/client.py
@@ -130,7 +130,7 @@
                 self._http.receive_data(self._sock.recv(READ_BYTES))
         except TimeoutError as error:
             raise ResponseTimeoutError(
-                f"{self.address}: no data within {seconds:.3f} s"
+                f"{self.address}: nothing within {seconds:.3f} s"
             ) from error
         except (OSError, h11.RemoteProtocolError) as error:
             raise ConnectionBrokenError(f"{self.address}: {error}") from error
@@ -162,7 +162,7 @@
         match event:
             case h11.ConnectionClosed() | h11.PAUSED:
                 raise ConnectionBrokenError(
-                    f"{self.address}: connection closed without a response"
+                    f"{self.address}: closed without a response"
                 )
             case h11.Response():
                 self._read_keep_alive(event)
--- a/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/controlstate.py
@@ -102,7 +102,7 @@
         age = self.age
         if age > self._key_lease_seconds:
             raise RefusedError(
-                f"configuration last confirmed {age:.1f} s ago, too old to check keys",
+                f"keys were last confirmed {age:.1f} s ago",
                 Code.CONFIG_STALE,
                 retry_after=STALE_CONFIG_RETRY_SECONDS,
             )
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -98,7 +98,7 @@
         request = exchange.request
         if entry.rejects_requests:
             raise RefusedError(
-                "this entry is shutting down",
+                "this entry stops",
                 Code.DRAINING,
                 retry_after=DRAINING_RETRY_SECONDS,
             )
@@ -136,7 +136,7 @@
         seconds = entry.suspects.compute_suspension(call.fingerprint, entry.clock())
         if seconds > 0.0:
             raise RefusedError(
-                f"request suspended for {seconds:.1f} s: it crashed several endpoints",
+                f"suspended for {seconds:.1f} s: it crashed several endpoints",
                 Code.SUSPENDED,
                 retry_after=seconds,
             )
@@ -157,7 +157,7 @@
         model = choose_first_model(call.route.models, available)
         if model is None:
             raise RefusedError(
-                f"{call.service}: no endpoint serves a model of the route",
+                f"{call.service}: no endpoint holds a model of the route",
                 Code.NO_ENDPOINT,
                 retry_after=NO_ENDPOINT_RETRY_SECONDS,
             )
@@ -203,11 +203,9 @@
         if last_outcome is not None and not isinstance(last_outcome, NotRun):
             self._raise_failure(last_outcome)
         if relay.has_started:
-            raise EndpointError(
-                "no endpoint available to resume the stream", Code.STREAM_BROKEN
-            )
+            raise EndpointError("no endpoint to go on at", Code.STREAM_BROKEN)
         raise RefusedError(
-            f"{call.service}: no endpoint accepts requests",
+            f"{call.service}: no endpoint takes requests",
             Code.NO_ENDPOINT,
             retry_after=OVERLOADED_RETRY_SECONDS
             if call.tried_endpoints
@@ -351,7 +349,7 @@
         control_state = self._entry.control_state
         control_state.require_lease()
         if control_state.require_routing().find_workspace(call.metadata.key) is None:
-            raise AuthorizationError("key was revoked")
+            raise AuthorizationError("the key was taken away")
 
     def _should_retry_answer(self, call: Call, outcome: Answered) -> bool:
         if outcome.response.status < 500:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -418,7 +418,7 @@
         data = encode_command(command)
         reply = self._retry_until_deadline(
             lambda seconds: self._propose(data, seconds),
-            "no majority confirmed the command in time",
+            "no majority confirmed it in time",
         )
         return OUTCOME_DECODER.decode(reply)
 
@@ -454,7 +454,7 @@
             case Committed(result):
                 return result
             case NotLeader(found):
-                raise NotLeaderError(f"{leader} is not the leader", found)
+                raise NotLeaderError(f"{leader} does not lead", found)
             case Unknown(detail):
                 raise ReplicationError(detail)
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
@@ -70,7 +70,7 @@
         except ResponseTimeoutError as error:
             return MayHaveRun(str(error), AttemptResult.SILENT)
         if splitter.has_partial_event:
-            return MayHaveRun("stream ended within an event", AttemptResult.BROKEN)
+            return MayHaveRun("ended within an event", AttemptResult.BROKEN)
         self._start_response(head)
         attempt.release_connection()
         self._exchange.end_stream()
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -286,13 +286,13 @@
         self._check_running()
         if len(command) > self._settings.command_bytes:
             raise ReplicationError(
-                f"{self.name}: command of {len(command)} bytes is too large",
+                f"{self.name}: command of {len(command)} bytes",
                 Code.BODY_TOO_LARGE,
                 Run.NOT_RUN,
             )
         if self._inbox.qsize() >= self._settings.inbox_limit:
             raise ReplicationError(
-                f"{self.name}: input queue is full", Code.OVERLOADED, Run.NOT_RUN
+                f"{self.name}: too many commands wait", Code.OVERLOADED, Run.NOT_RUN
             )
 
     def _transfer_leadership(self) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/peer.py
+++ b/packages/daemon/src/bergamotwood_daemon/peer.py
@@ -186,7 +186,7 @@
         """
         if monotonic() < self._redial_at:
             raise ReplicationError(
-                f"{method} at {self._address}: waiting to dial again", run=Run.NOT_RUN
+                f"{method} at {self._address}: not dialled again yet", run=Run.NOT_RUN
             )
         channel = self._get_channel()
         try:
--- a/packages/daemon/src/bergamotwood_daemon/pendingproposals.py
+++ b/packages/daemon/src/bergamotwood_daemon/pendingproposals.py
@@ -37,9 +37,7 @@
         """Fail the proposals up to an index that a received snapshot contains."""
         for pending_index in [held for held in self._proposals if held <= index]:
             _, proposal = self._proposals.pop(pending_index)
-            proposal.result.set_exception(
-                ReplicationError("answer lost: entry was applied by a snapshot")
-            )
+            proposal.result.set_exception(ReplicationError("passed over by a snapshot"))
 
     def fail_all(self, detail: str) -> None:
         """Fail all pending proposals."""
@@ -51,6 +49,4 @@
         # Another entry took its index, so it will never be applied.
         pending = self._proposals.pop(index, None)
         if pending is not None:
-            pending[1].result.set_exception(
-                NotLeaderError("entry was overwritten in a later term")
-            )
+            pending[1].result.set_exception(NotLeaderError("lost to a later term"))
--- a/packages/daemon/src/bergamotwood_daemon/routes.py
+++ b/packages/daemon/src/bergamotwood_daemon/routes.py
@@ -122,7 +122,7 @@
             return route.handler(request, *match.groups())
         if path_exists:
             raise RequestError(
-                f"{request.path}: method {request.method} not allowed",
+                f"{request.path}: not with {request.method}",
                 Code.METHOD_NOT_ALLOWED,
             )
         raise RequestError(f"{request.path:.200}: no such path", Code.UNKNOWN_PATH)
--- a/packages/daemon/src/bergamotwood_daemon/services.py
+++ b/packages/daemon/src/bergamotwood_daemon/services.py
@@ -89,7 +89,7 @@
         call = self._read_call(request, name, path)
         if not call.context.idempotent and call.key is None:
             raise RequestError(
-                "idempotency-key: required for a non-idempotent request",
+                "idempotency-key: needed for a non-idempotent request",
                 Code.KEY_REQUIRED,
             )
         self._admission_gate.acquire(call.context, call.service.name)
--- a/packages/daemon/src/bergamotwood_daemon/web.py
+++ b/packages/daemon/src/bergamotwood_daemon/web.py
@@ -130,17 +130,13 @@
                 Code.SENDER_TOO_SLOW,
             ) from error
         except OSError as error:
-            raise RequestError(
-                "body: the connection failed before its end", Code.BODY_INCOMPLETE
-            ) from error
+            raise RequestError("body: cut off", Code.BODY_INCOMPLETE) from error
         if len(body) > maximum:
             raise RequestError(
                 f"body: larger than {maximum} bytes", Code.BODY_TOO_LARGE
             )
         if declared.isdecimal() and len(body) < int(declared):
-            raise RequestError(
-                f"body: received {len(body)} of {declared} bytes", Code.BODY_INCOMPLETE
-            )
+            raise RequestError("body: cut off", Code.BODY_INCOMPLETE)
         return body
 
 
