--- a/packages/fakes/src/bergamotwood_fakes/engine.py
+++ b/packages/fakes/src/bergamotwood_fakes/engine.py
@@ -137,7 +137,7 @@
             return make_error_response(400, str(error)).send(start_response)
         version = read_header(environ, "Bergamotwood-Version") or chat.model
         if version not in self._loader.versions:
-            return make_error_response(404, f"{version} is not loaded").send(
+            return make_error_response(404, f"{version} not loaded").send(
                 start_response
             )
         if self._draws_error(version):
--- a/packages/fakes/src/bergamotwood_fakes/loader.py
+++ b/packages/fakes/src/bergamotwood_fakes/loader.py
@@ -53,7 +53,7 @@
         token = (order.term, order.index)
         if self._checks_fencing and token < self._newest_token:
             return make_error_response(
-                409, f"fencing token {token} is older than {self._newest_token}"
+                409, f"fencing token {token} is older than newest"
             )
         self._newest_token = max(self._newest_token, token)
         match order.order:
@@ -70,7 +70,7 @@
         if version in self.versions:
             return make_json_response({"versions": list(self.versions)})
         if self._weights is not None and not self._fetch(self._weights, version):
-            return make_error_response(500, f"could not fetch the weights of {version}")
+            return make_error_response(500, f"weight store did not give {version}")
         self.versions[version] = None
         return make_json_response({"versions": list(self.versions)})
 
--- a/packages/fakes/src/bergamotwood_fakes/rating.py
+++ b/packages/fakes/src/bergamotwood_fakes/rating.py
@@ -73,9 +73,7 @@
             return make_error_response(400, str(error))
         retry_after = self._limit.take()
         if retry_after:
-            return make_error_response(
-                429, "rating rate limit exceeded", retry_after=retry_after
-            )
+            return make_error_response(429, "limit of ratings", retry_after=retry_after)
         sleep(self._seconds)
         quality = read_quality(request.answer) or 0.0
         score = quality + self._random.gauss(0.0, self._noise)
--- a/packages/fakes/src/bergamotwood_fakes/weights.py
+++ b/packages/fakes/src/bergamotwood_fakes/weights.py
@@ -48,7 +48,7 @@
         retry_after = self._limit.take()
         if retry_after:
             return make_error_response(
-                429, "download rate limit exceeded", retry_after=retry_after
+                429, "limit of downloads", retry_after=retry_after
             )
         sleep(self._seconds)
         return make_json_response({"version": version})
