--- /dev/null
+++ b/tests/ci/test_known_red.py
@@ -0,0 +1,179 @@
+import json
+import sys
+from pathlib import Path
+from subprocess import run
+
+from msgspec import convert
+from pytest import fixture, mark
+
+from bergamotwood_fakes.report import Result, write_results
+
+SCRIPT = Path(__file__).parents[2] / ".ci" / "known_red.py"
+TROUBLE = "refused 409 code 1302 not_run version small:2 is withdrawn"
+PASSED = {
+    "name": "smoke",
+    "sent": 100,
+    "answered": 100,
+    "refused": 0,
+    "unknown": 0,
+    "longest_gap": 0.2,
+    "back_to_normal": 0.0,
+    "violations": [],
+    "unmet": [],
+    "troubles": [],
+}
+KNOWN = {
+    **PASSED,
+    "name": "tickets raced and resent",
+    "sent": 60,
+    "answered": 59,
+    "refused": 1,
+    "unmet": ["chat: 59 answered, expected 60 to 60"],
+    "troubles": [f"1 x {TROUBLE}"],
+}
+KNOWN_TWICE = {
+    **KNOWN,
+    "answered": 58,
+    "refused": 2,
+    "unmet": ["chat: 58 answered, expected 60 to 60"],
+    "troubles": [f"2 x {TROUBLE}"],
+}
+
+
+@fixture
+def results_path(tmp_path):
+    return tmp_path / "results.json"
+
+
+def check(path):
+    return run([sys.executable, SCRIPT, path], capture_output=True, text=True)
+
+
+def check_results(path, *results):
+    path.write_text(json.dumps(results))
+    return check(path)
+
+
+@mark.parametrize(
+    "known, line",
+    [
+        (KNOWN, f"59 of 60 answered, 1 x {TROUBLE}"),
+        (KNOWN_TWICE, f"58 of 60 answered, 2 x {TROUBLE}"),
+    ],
+)
+def test_known_case_passes_and_is_printed(results_path, known, line):
+    checked = check_results(results_path, PASSED, known)
+    assert checked.returncode == 0
+    assert checked.stdout == f"KNOWN-RED 11: tickets raced and resent: {line}\n"
+    assert checked.stderr == ""
+
+
+def test_known_case_as_the_scenario_runner_writes_it_passes(results_path):
+    results = convert([PASSED, KNOWN], list[Result])
+    assert [result.passed for result in results] == [True, False]
+    write_results(results, results_path)
+    assert check(results_path).returncode == 0
+
+
+@mark.parametrize(
+    "changes, difference",
+    [
+        (
+            {"violations": [{"promise": "1", "detail": "ran twice"}]},
+            "violations is [{'promise': '1', 'detail': 'ran twice'}]",
+        ),
+        ({"name": "keys raced"}, "name is 'keys raced'"),
+        (
+            {"unmet": [*KNOWN["unmet"], "chat: gap of 4.0 s, expected at most 3.0 s"]},
+            "unmet is ",
+        ),
+        ({"unmet": ["lookup: 59 answered, expected 60 to 60"]}, "unmet is "),
+        ({"unmet": ["chat: 59 answered, expected 58 to 58"]}, "unmet is "),
+        ({"answered": 58, "unknown": 1}, "unknown is 1"),
+        ({"unknown": 1}, "unknown is 1"),
+        ({"sent": 61}, "sent is 61"),
+        (
+            {
+                "answered": 57,
+                "refused": 3,
+                "unmet": ["chat: 57 answered, expected 60 to 60"],
+                "troubles": [f"3 x {TROUBLE}"],
+            },
+            "refused is 3, expected 1 to 2",
+        ),
+        (
+            {
+                "answered": 60,
+                "refused": 0,
+                "unmet": ["chat: 60 answered, expected 60 to 60"],
+                "troubles": [f"0 x {TROUBLE}"],
+            },
+            "refused is 0, expected 1 to 2",
+        ),
+        ({"refused": 2, "troubles": [f"2 x {TROUBLE}"]}, "answered is 59"),
+        ({"troubles": [f"1 x {TROUBLE.replace('1302', '1301')}"]}, "troubles is "),
+        ({"troubles": [f"1 x {TROUBLE.replace('not_run', 'unknown')}"]}, "troubles is"),
+        ({"troubles": [f"1 x {TROUBLE.replace('small:2', 'small:1')}"]}, "troubles is"),
+        (
+            {"troubles": [*KNOWN["troubles"], "1 x unreachable 0 code 0  "]},
+            "troubles is ",
+        ),
+        ({"troubles": []}, "troubles is []"),
+        ({"troubles": [f"2 x {TROUBLE}"]}, f"troubles is ['2 x {TROUBLE}']"),
+    ],
+)
+def test_result_that_differs_from_the_known_case_fails(
+    results_path, changes, difference
+):
+    result = {**KNOWN, **changes}
+    checked = check_results(results_path, PASSED, result)
+    assert checked.returncode == 1
+    assert f"not covered by KNOWN-RED 11: {result['name']}\n" in checked.stderr
+    assert f"\n  {difference}" in checked.stderr
+    assert checked.stdout == ""
+
+
+def test_other_failed_scenario_beside_the_known_case_fails(results_path):
+    other = {**PASSED, "unmet": ["chat: 99 answered, expected 100 to 100"]}
+    checked = check_results(results_path, other, KNOWN)
+    assert checked.returncode == 1
+    assert "not covered by KNOWN-RED 11: smoke\n" in checked.stderr
+    assert KNOWN["name"] not in checked.stderr.splitlines()[0]
+    assert checked.stdout == ""
+
+
+@mark.parametrize("results", [[], [PASSED]])
+def test_failed_run_without_a_failed_result_fails(results_path, results):
+    checked = check_results(results_path, *results)
+    assert checked.returncode == 1
+    assert "none of its results did" in checked.stderr
+
+
+def test_missing_file_fails(results_path):
+    checked = check(results_path)
+    assert checked.returncode == 1
+    assert "cannot read results: " in checked.stderr
+    assert str(results_path) in checked.stderr
+
+
+def test_truncated_file_fails(results_path):
+    results_path.write_text(json.dumps([PASSED, KNOWN])[:-1])
+    checked = check(results_path)
+    assert checked.returncode == 1
+    assert f"{results_path} is not valid JSON: " in checked.stderr
+
+
+@mark.parametrize(
+    "content, message",
+    [
+        (KNOWN, "is not a list of results"),
+        ([KNOWN, "smoke"], "item 2 is not a scenario result"),
+        ([{**KNOWN, "refused": "1"}], "item 1 is not a scenario result"),
+        ([{"name": KNOWN["name"]}], "item 1 is not a scenario result"),
+    ],
+)
+def test_file_of_another_form_fails(results_path, content, message):
+    results_path.write_text(json.dumps(content))
+    checked = check(results_path)
+    assert checked.returncode == 1
+    assert message in checked.stderr
