--- a/packages/core/src/bergamotwood_core/announcement.py
+++ b/packages/core/src/bergamotwood_core/announcement.py
@@ -46,8 +46,8 @@
         fields.
     """
     if len(body) > MAX_ANNOUNCEMENT_BYTES:
-        limit = f"{len(body)} bytes, at most {MAX_ANNOUNCEMENT_BYTES}"
-        raise RequestError(f"announcement: {limit}", Code.ANNOUNCEMENT_INVALID)
+        detail = f"{len(body)} bytes, at most {MAX_ANNOUNCEMENT_BYTES}"
+        raise RequestError(f"announcement: {detail}", Code.ANNOUNCEMENT_INVALID)
     try:
         announcement = _ANNOUNCEMENTS.decode(body)
     except (ValidationError, DecodeError, UnicodeDecodeError) as error:
--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -84,14 +84,14 @@
 
 def _append_missing(state: ReplicaState, entries: tuple[Entry, ...]) -> None:
     log = state.log
-    for at, entry in enumerate(entries):
+    for position, entry in enumerate(entries):
         if entry.index <= log.start or log.find_term(entry.index) == entry.term:
             continue
         if entry.index <= state.commit:
             raise LogCorruptError(
                 f"the leader sent another entry for committed index {entry.index}"
             )
-        state.append_entries(entries[at:])
+        state.append_entries(entries[position:])
         return
 
 
--- a/packages/core/src/bergamotwood_core/gateway/events.py
+++ b/packages/core/src/bergamotwood_core/gateway/events.py
@@ -43,9 +43,9 @@
 
 def _find_end(data: bytes) -> int:
     ends = [
-        at + len(mark)
+        position + len(mark)
         for mark in (b"\n\n", b"\r\n\r\n")
-        if (at := data.find(mark)) >= 0
+        if (position := data.find(mark)) >= 0
     ]
     return min(ends, default=-1)
 
--- a/packages/core/src/bergamotwood_core/gateway/rollout.py
+++ b/packages/core/src/bergamotwood_core/gateway/rollout.py
@@ -217,8 +217,8 @@
         return RolloutOutcome.IN_PROGRESS
     if fraction >= END_FRACTION:
         return RolloutOutcome.COMPLETED
-    settled = STAGES[-1][0] + (END_FRACTION - STAGES[-1][0]) / 2
-    if outstanding_before == 0 and fraction >= settled:
+    early_end = STAGES[-1][0] + (END_FRACTION - STAGES[-1][0]) / 2
+    if outstanding_before == 0 and fraction >= early_end:
         return RolloutOutcome.COMPLETED
     return RolloutOutcome.IN_PROGRESS
 
@@ -246,7 +246,7 @@
     """
 
     def __init__(self, session_timeout_seconds: float) -> None:
-        self._seconds = session_timeout_seconds
+        self._timeout_seconds = session_timeout_seconds
         self._seen: dict[tuple[ServiceName, SessionId], tuple[str, Seconds]] = {}
 
     def record(
@@ -262,7 +262,7 @@
     ) -> str | None:
         """Return the version of an open session; None if it is not open."""
         seen = self._seen.get((service, session))
-        if seen is None or now - seen[1] > self._seconds:
+        if seen is None or now - seen[1] > self._timeout_seconds:
             return None
         return seen[0]
 
@@ -279,7 +279,7 @@
 
     def _expire(self, now: Seconds) -> None:
         for key, (_, at) in list(self._seen.items()):
-            if now - at <= self._seconds:
+            if now - at <= self._timeout_seconds:
                 return
             del self._seen[key]
 
--- a/packages/core/src/bergamotwood_core/logentries.py
+++ b/packages/core/src/bergamotwood_core/logentries.py
@@ -149,7 +149,9 @@
 
     def find_membership(self, index: LogIndex) -> Membership:
         """Return the membership that applies at an index."""
-        memberships = [members for at, members in self._memberships if at <= index]
+        memberships = [
+            members for first, members in self._memberships if first <= index
+        ]
         return memberships[-1]
 
     def find_term(self, index: LogIndex) -> Term | None:
--- a/packages/core/src/bergamotwood_core/orders.py
+++ b/packages/core/src/bergamotwood_core/orders.py
@@ -114,9 +114,9 @@
         orders.filled_at = None
         return []
     _fill_allowance(orders, rate_limit, now)
-    wanted = find_missing_loads(configuration, directory)
-    _remove_finished(orders, wanted)
-    due = [key for key in wanted if _is_due(orders, key, now)]
+    missing = find_missing_loads(configuration, directory)
+    _remove_finished(orders, missing)
+    due = [key for key in missing if _is_due(orders, key, now)]
     chosen = due[: int(orders.allowance)]
     orders.allowance -= len(chosen)
     for key in chosen:
@@ -137,7 +137,7 @@
     missing: list[LoadKey] = []
     for model in configuration.models.values():
         wanted = _find_wanted_versions(configuration, model)
-        for endpoint in _find_pool(model, endpoints):
+        for endpoint in _choose_endpoints(model, endpoints):
             loaded = endpoint.announcement.versions
             incarnation = endpoint.announcement.incarnation
             missing += [
@@ -159,7 +159,7 @@
     return sorted(wanted - withdrawn)
 
 
-def _find_pool(model: Model, endpoints: list[Endpoint]) -> list[Endpoint]:
+def _choose_endpoints(model: Model, endpoints: list[Endpoint]) -> list[Endpoint]:
     versions = {version.id for version in model.versions}
     pool = [e for e in endpoints if versions.intersection(e.announcement.versions)]
     if pool:
@@ -178,8 +178,8 @@
     orders.filled_at = now
 
 
-def _remove_finished(orders: OrderTables, wanted: list[LoadKey]) -> None:
-    for key in set(orders.ordered) - set(wanted):
+def _remove_finished(orders: OrderTables, missing: list[LoadKey]) -> None:
+    for key in set(orders.ordered) - set(missing):
         del orders.ordered[key]
 
 
--- a/packages/core/src/bergamotwood_core/replication.py
+++ b/packages/core/src/bergamotwood_core/replication.py
@@ -35,8 +35,8 @@
     """Append commands and return the index of the first."""
     first = state.log.last_index + 1
     entries = tuple(
-        Entry(LogIndex(first + at), state.term, EntryKind.COMMAND, command)
-        for at, command in enumerate(commands)
+        Entry(LogIndex(first + offset), state.term, EntryKind.COMMAND, command)
+        for offset, command in enumerate(commands)
     )
     state.append_entries(entries)
     return LogIndex(first)
@@ -81,7 +81,7 @@
 def send_append(state: ReplicaState, member: Member, now: Seconds) -> None:
     """Send one member the next entries, a probe or a part of a snapshot."""
     progress = state.leadership.progress[member.replica]
-    _check_silence(state, progress, now)
+    _probe_if_silent(state, progress, now)
     if progress.snapshot is None and progress.next <= state.log.start:
         progress.snapshot = state.snapshot
         progress.offset = 0
@@ -236,7 +236,7 @@
     return state.log.get_entries(progress.next, last, state.settings.append_bytes)
 
 
-def _check_silence(state: ReplicaState, progress: Progress, now: Seconds) -> None:
+def _probe_if_silent(state: ReplicaState, progress: Progress, now: Seconds) -> None:
     silent = now > progress.acked_at + state.settings.election_seconds
     if silent and not progress.probing:
         progress.probing = True
--- a/tests/core/gateway/test_events.py
+++ b/tests/core/gateway/test_events.py
@@ -11,8 +11,8 @@
 def test_events_are_split_alike_for_every_chunk_size(size):
     splitter = EventSplitter()
     events = []
-    for at in range(0, len(TEXT), size):
-        events += splitter.feed(TEXT[at : at + size])
+    for start in range(0, len(TEXT), size):
+        events += splitter.feed(TEXT[start : start + size])
     assert [event.id for event in events] == ["1", "2", None, "3"]
     assert b"".join(event.data for event in events) + b"id: 4\nda" == TEXT
     assert splitter.has_partial_event
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -140,7 +140,7 @@
     for _ in range(400):
         now += rng.expovariate(20.0)
         seconds = rng.choice((0.02, 0.1, 0.9))
-        backlog = [max(free_at[at] - now, 0.0) for at in range(9)]
+        backlog = [max(free_at[engine] - now, 0.0) for engine in range(9)]
         chosen = choose_next(backlog, seconds, rng)
         waits.append(backlog[chosen])
         free_at[chosen] = now + backlog[chosen] + seconds
@@ -148,7 +148,7 @@
 
 
 def choose_best_of_two(backlog, seconds, rng):
-    return min(rng.sample(range(9), 2), key=lambda at: backlog[at] > 0)
+    return min(rng.sample(range(9), 2), key=lambda engine: backlog[engine] > 0)
 
 
 def make_loads(backlog):
@@ -176,14 +176,14 @@
     """
     rng = Random(seed)
     free_at = dict.fromkeys(range(9), 0.0)
-    cached = {at: OrderedDict() for at in range(9)}
+    cached = {engine: OrderedDict() for engine in range(9)}
     now = 0.0
     times = []
     misses = 0
     for _ in range(800):
         now += rng.expovariate(30.0)
         shared_id = str(min(int(rng.expovariate(3.0 / prompt_count)), prompt_count - 1))
-        backlog = [max(free_at[at] - now, 0.0) for at in range(9)]
+        backlog = [max(free_at[engine] - now, 0.0) for engine in range(9)]
         chosen = choose_next(backlog, shared_id, rng)
         is_cached = cached[chosen].pop(shared_id, False)
         cached[chosen][shared_id] = True
--- a/tests/core/gateway/test_suspects.py
+++ b/tests/core/gateway/test_suspects.py
@@ -33,8 +33,8 @@
     """Deliver the reports of each entry to all others."""
     crashes = [table.list_own_crashes(Seconds(now)) for table in tables]
     successes = [table.list_successes(Seconds(now)) for table in tables]
-    for at, table in enumerate(tables):
-        others = [*range(at), *range(at + 1, len(tables))]
+    for index, table in enumerate(tables):
+        others = [*range(index), *range(index + 1, len(tables))]
         table.apply_reports(
             [item for other in others for item in crashes[other]],
             [item for other in others for item in successes[other]],
--- a/tests/core/ledgercluster.py
+++ b/tests/core/ledgercluster.py
@@ -59,9 +59,9 @@
         caller = self.rng.choice(self.callers)
         if caller.state == "asking" and self.rng.random() < 0.2:
             caller.state = "given_up"
-        at = self.submit(node, encode_command(self._choose_command(caller)))
-        if at is not None:
-            self.waiting[(node.instance, *at)] = caller
+        position = self.submit(node, encode_command(self._choose_command(caller)))
+        if position is not None:
+            self.waiting[(node.instance, *position)] = caller
 
     def apply(self, node, entry):
         answer = self.machines[node.instance].apply(entry.index, entry.command)
@@ -80,8 +80,8 @@
 
     def reset(self, node):
         self.machines[node.instance] = LedgerMachine()
-        for at in [at for at in self.waiting if at[0] == node.instance]:
-            del self.waiting[at]
+        for key in [key for key in self.waiting if key[0] == node.instance]:
+            del self.waiting[key]
 
     def check_bills(self):
         """Check that each billed key was dispatched and has one bill.
--- a/tests/core/logcluster.py
+++ b/tests/core/logcluster.py
@@ -382,13 +382,13 @@
             self.sync(node)
 
     def _deliver(self):
-        at = self.rng.randrange(len(self.network))
+        position = self.rng.randrange(len(self.network))
         if self.rng.random() < 0.7:
-            at = 0
-        source, target, body = self.network[at]
+            position = 0
+        source, target, body = self.network[position]
         repeated = self.faults and self.rng.random() < 0.02
         if not repeated:
-            del self.network[at]
+            del self.network[position]
         dropped = self.faults and self.rng.random() < 0.03
         node = self.nodes[target]
         if dropped or (source, target) in self.blocked or node.replica is None:
--- a/tests/core/test_bootstrap.py
+++ b/tests/core/test_bootstrap.py
@@ -130,8 +130,8 @@
     monkeypatch.setattr(bootstrap, "MAX_OPEN_VOTERS", 3)
     for seed in range(6):
         cluster = build_settled_cluster(seed)
-        cut = cluster.names[seed % 3]
-        cluster.isolate({cut})
+        partitioned = cluster.names[seed % 3]
+        cluster.isolate({partitioned})
         cluster.faults = False
         limit = cluster.now + 12.0
         while cluster.now < limit:
--- a/tests/core/test_ledgercluster.py
+++ b/tests/core/test_ledgercluster.py
@@ -16,11 +16,11 @@
 def test_granting_a_key_again_after_a_restore_is_detected(monkeypatch):
     restore = LedgerMachine.restore
 
-    def forget(self, content):
+    def restore_without_keys(self, content):
         restore(self, content)
         self.keys.records.clear()
 
-    monkeypatch.setattr(LedgerMachine, "restore", forget)
+    monkeypatch.setattr(LedgerMachine, "restore", restore_without_keys)
     with pytest.raises(InvariantError, match="two answers|two holders"):
         for seed in range(4):
             LedgerCluster(seed).run(3000)
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -56,7 +56,7 @@
     return [(order.endpoint, order.version) for order in found]
 
 
-def run_all(configuration, directory):
+def order_all(configuration, directory):
     """Return the orders of the second tick; the first only starts the refill."""
     orders = OrderTables()
     order_at(0.0, configuration, directory, orders)
@@ -67,19 +67,19 @@
     directory = build_directory(
         ("a", ("m:1",)), ("b", ("m:1", "m:2")), ("c", ("other:1",))
     )
-    assert run_all(build_configuration(), directory) == [("a", "m:2")]
+    assert order_all(build_configuration(), directory) == [("a", "m:2")]
 
 
 def test_a_withdrawn_version_is_not_loaded_and_a_leaving_endpoint_not_used():
     withdrawn = build_configuration(VersionState.WITHDRAWN)
-    assert run_all(withdrawn, build_directory(("a", ("m:1",)))) == []
+    assert order_all(withdrawn, build_directory(("a", ("m:1",)))) == []
     leaving = build_directory(("a", ("m:1",), EndpointState.LEAVING))
-    assert run_all(build_configuration(), leaving) == []
+    assert order_all(build_configuration(), leaving) == []
 
 
 def test_model_loaded_nowhere_goes_to_the_endpoints_with_fewest_versions():
     directory = build_directory(("a", ("x:1", "y:1")), ("b", ()), ("c", ("x:1",)))
-    found = run_all(build_configuration(rollout=False), directory)
+    found = order_all(build_configuration(rollout=False), directory)
     assert found == [("b", "m:1"), ("c", "m:1")]
 
 
