--- a/packages/core/src/bergamotwood_core/admission.py
+++ b/packages/core/src/bergamotwood_core/admission.py
@@ -48,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits in a queue until `release` or `expire` returns its id.
+    """The request waits in a queue.
+
+    It starts when `release`, `cancel` or `set_limit` returns its id, and must be
+    refused when `expire` returns it or a later request displaces it.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/bootstrap.py
+++ b/packages/core/src/bergamotwood_core/bootstrap.py
@@ -79,7 +79,7 @@
 def handle_join_request(
     state: ReplicaState, message: Message, body: JoinRequest, now: Seconds
 ) -> None:
-    """Answer a join request, and keep it if this replica leads the group."""
+    """Answer a join request, and keep it if it names this replica as the leader."""
     if state.genesis is None:
         state.known_identities[message.instance] = message.sender
         _record_waiting_identity(state, message, body, now)
--- a/packages/core/src/bergamotwood_core/cascade.py
+++ b/packages/core/src/bergamotwood_core/cascade.py
@@ -269,7 +269,8 @@
         Returns
         -------
         bool
-            True for a share of the answers that falls as ratings accumulate.
+            True for a random share of the answers while the rating budget suffices.
+            The share of unrated answers falls as ratings accumulate.
         """
         weight = self.find_estimate(key).weight
         chance = REPEAT_RATING_SHARE
--- a/packages/core/src/bergamotwood_core/configuration.py
+++ b/packages/core/src/bergamotwood_core/configuration.py
@@ -83,7 +83,8 @@
 class Service(Entity):
     """A plain HTTP service.
 
-    Requests to `idempotent_paths` may be repeated whatever their method.
+    Requests to `idempotent_paths` may be repeated whatever their method. `price` is
+    the cost of one attempt, in cost units.
     """
 
     name: Name
--- a/packages/core/src/bergamotwood_core/frontier.py
+++ b/packages/core/src/bergamotwood_core/frontier.py
@@ -66,7 +66,7 @@
     Parameters
     ----------
     latency_weight : float
-        Cost units per second of latency.
+        Cost units that one second of time to first token is worth.
     rating_seconds : float
         Duration of one rating.
     selection_bias : float
--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -135,7 +135,7 @@
     received_at, deadline : Seconds
         Time of arrival, and time by which the complete answer is due.
     fingerprint : Fingerprint
-        Equal for requests with the same method, path, workspace and body.
+        Equal for requests with the same method, path, query, workspace and body.
     tried_endpoints : list of EndpointId
         Endpoints that the request was sent to.
     possible_executions : int
--- a/packages/core/src/bergamotwood_core/gateway/suspects.py
+++ b/packages/core/src/bergamotwood_core/gateway/suspects.py
@@ -28,7 +28,7 @@
     Parameters
     ----------
     fingerprint : Fingerprint
-        Hash of the method, path, workspace and body of the request.
+        Hash of the method, path, query, workspace and body of the request.
     endpoint, incarnation : EndpointId, Incarnation
         Endpoint that executed the request.
     age_seconds : float
@@ -47,7 +47,7 @@
     Parameters
     ----------
     fingerprint : Fingerprint
-        Hash of the method, path, workspace and body of the request.
+        Hash of the method, path, query, workspace and body of the request.
     age_seconds : float
         Age of the success at the time of the report.
     """
--- a/packages/core/src/bergamotwood_core/ledger.py
+++ b/packages/core/src/bergamotwood_core/ledger.py
@@ -110,8 +110,8 @@
     """State machine that applies the commands of the ledger's log.
 
     Its keys, bills and windows are identical on every replica that applied the
-    same commands: time advances by `Tick` commands only, and an invalid command
-    is answered instead of raising an exception.
+    same commands: time advances by `Tick` commands only. An invalid command is
+    answered and raises no exception.
     """
 
     def __init__(self) -> None:
--- a/packages/core/src/bergamotwood_core/ledger_command.py
+++ b/packages/core/src/bergamotwood_core/ledger_command.py
@@ -31,7 +31,7 @@
     cost : float
         Cost units.
     outcome : str
-        One of `accepted`, `escalated`, `failed` and `cancelled`.
+        `answered` or `failed`; for a service, the HTTP status of its answer.
     """
 
     target: str
@@ -54,7 +54,7 @@
     key : IdempotencyKey or None
         The caller's key, if any.
     digest : str
-        Digest of method, path and body.
+        Digest of method, path, query and body.
     attempts : tuple of Attempt
         Attempts in the order in which they started.
     cost : float
@@ -85,7 +85,7 @@
     workspace, key : str
         The caller's key, scoped to its workspace.
     digest : str
-        Digest of method, path and body.
+        Digest of method, path, query and body.
     token : str
         Unique token that the entry generates for this claim; repeating the command
         with the same token has no further effect.
--- a/packages/core/src/bergamotwood_core/orders.py
+++ b/packages/core/src/bergamotwood_core/orders.py
@@ -160,6 +160,7 @@
 
 
 def _choose_endpoints(model: Model, endpoints: list[Endpoint]) -> list[Endpoint]:
+    """Choose endpoints with a version of the model, or else with fewest versions."""
     versions = {version.id for version in model.versions}
     pool = [e for e in endpoints if versions.intersection(e.announcement.versions)]
     if pool:
--- a/packages/core/src/bergamotwood_core/outlier.py
+++ b/packages/core/src/bergamotwood_core/outlier.py
@@ -44,7 +44,7 @@
 
 
 def record_success(endpoint: Endpoint, now: Seconds) -> None:
-    """Record a completed attempt, after `record_first_token`."""
+    """Record a completed attempt whose first token has been recorded."""
     endpoint.outstanding = max(0, endpoint.outstanding - 1)
     endpoint.failures = 0
     endpoint.ejected_until = now
--- a/packages/core/src/bergamotwood_core/placement.py
+++ b/packages/core/src/bergamotwood_core/placement.py
@@ -95,7 +95,7 @@
     Returns
     -------
     EndpointId or None
-        None when no endpoint runs the target.
+        None when no endpoint runs the target, or all that run it are excluded.
     """
     best = _choose_by_load(tables, requirements, now, rng)
     key = _compute_affinity_key(requirements)
--- a/packages/core/src/bergamotwood_core/quarantine.py
+++ b/packages/core/src/bergamotwood_core/quarantine.py
@@ -10,7 +10,8 @@
 from bergamotwood_core.tables import Suspect
 
 QUARANTINE_CRASHES = 2
-# At most one in this many endpoints is reserved for retries of suspects.
+# At most one in this many endpoints is reserved for retries of suspects, but at
+# least one in total.
 RETRY_ENDPOINT_DIVISOR = 2
 # Maximum number of finished fingerprints that an entry keeps.
 MAX_FINISHED = 10_000
@@ -149,8 +150,9 @@
         Whether an endpoint crashed while running the request for this entry. The
         entry's tables may not show this crash yet.
     granted : bool
-        Whether this entry's record of the last crash was the first in the log. Only
-        that entry retries; the others wait for the result.
+        Whether this entry's record of the last crash was the first in the log. That
+        entry retries first; the others wait up to `RETRY_RESULT_TIMEOUT_SECONDS` for
+        the result.
     waited : float
         Seconds since the request was first handled as a suspect.
     """
@@ -184,7 +186,8 @@
     Returns
     -------
     dict
-        Endpoint of each suspect, using at most half of the endpoints.
+        Endpoint of each suspect that has one. At most half of the endpoints are
+        assigned, but at least one if there is any.
     """
     free = list(endpoints)
     max_assigned = max(1, len(free) // RETRY_ENDPOINT_DIVISOR)
--- a/packages/core/src/bergamotwood_core/replica.py
+++ b/packages/core/src/bergamotwood_core/replica.py
@@ -185,7 +185,8 @@
         Raises
         ------
         NotLeaderError
-            When the replica does not lead, or another change is pending.
+            When the replica does not lead or is transferring leadership, another
+            change is pending, or no entry of its term is committed yet.
         ValueError
             When the change is not possible with the current members.
         """
--- a/packages/core/src/bergamotwood_core/replication.py
+++ b/packages/core/src/bergamotwood_core/replication.py
@@ -51,7 +51,11 @@
 
 
 def can_change_membership(state: ReplicaState) -> bool:
-    """Whether no other change is pending and the term has a committed entry."""
+    """Whether this replica may append a membership change.
+
+    It must lead without a transfer in progress, no other change may be pending, and
+    an entry of its term must be committed.
+    """
     leadership = state.leadership
     if leadership is None or leadership.transfer_to is not None:
         return False
--- a/packages/core/src/bergamotwood_core/rollout.py
+++ b/packages/core/src/bergamotwood_core/rollout.py
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class RolloutMonitor:
-    """State that the leader keeps about one roll-out, lost when it stops leading.
+    """State that a leader keeps in memory about one roll-out; it is not replicated.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/ticket.py
+++ b/packages/core/src/bergamotwood_core/ticket.py
@@ -1,4 +1,4 @@
-"""Reading, checking, digesting and comparing of tickets."""
+"""Parsing, encoding and checks of tickets, and the changes that they make."""
 
 import json
 from collections.abc import Iterator
--- a/packages/core/src/bergamotwood_core/watermark.py
+++ b/packages/core/src/bergamotwood_core/watermark.py
@@ -7,7 +7,8 @@
 
 from bergamotwood_core.ids import Incarnation, InstanceId, RequestId, Sequence
 
-# How many sequence numbers of an entry, counted back from the newest, are accepted.
+# Sequence numbers of an entry, counted back from the newest, whose bills are still
+# accepted.
 WINDOW_SIZE = 65_536
 # Incarnations of one entry, and entries, for which windows are kept.
 MAX_INCARNATIONS = 3
--- a/tests/core/gateway/test_retries.py
+++ b/tests/core/gateway/test_retries.py
@@ -48,6 +48,6 @@
                     retries.append(now)
     for start in range(0, 50):
         inside = [at for at in retries if start <= at < start + 10.0]
-        # Requests of the window before count as well.
+        # Requests up to one window earlier still allow retries in this one.
         counted = [at for at in requests if start - 10.0 <= at < start + 10.0]
         assert len(inside) <= 0.5 * len(counted) + 30.0
--- a/tests/core/logcluster.py
+++ b/tests/core/logcluster.py
@@ -306,6 +306,7 @@
         return max(leading, key=lambda node: node.replica.term, default=None)
 
     def note(self, text):
+        """Add an event to the trace, and count it by its second word."""
         self.trace.append(f"{self.now:8.3f} {text}")
         self.counts[text.split()[1]] += 1
 
