--- a/tests/core/logcluster.py
+++ b/tests/core/logcluster.py
@@ -306,6 +306,7 @@
         return max(leading, key=lambda node: node.replica.term, default=None)
 
     def note(self, text):
+        """Add an event to the trace, and count it by its second word."""
         self.trace.append(f"{self.now:8.3f} {text}")
         self.counts[text.split()[1]] += 1
 
@@ -382,13 +383,13 @@
             self.sync(node)
 
     def _deliver(self):
-        at = self.rng.randrange(len(self.network))
+        position = self.rng.randrange(len(self.network))
         if self.rng.random() < 0.7:
-            at = 0
-        source, target, body = self.network[at]
+            position = 0
+        source, target, body = self.network[position]
         repeated = self.faults and self.rng.random() < 0.02
         if not repeated:
-            del self.network[at]
+            del self.network[position]
         dropped = self.faults and self.rng.random() < 0.03
         node = self.nodes[target]
         if dropped or (source, target) in self.blocked or node.replica is None:
