--- a/packages/ctl/src/bergamotctl/client.py
+++ b/packages/ctl/src/bergamotctl/client.py
@@ -47,7 +47,13 @@
     ca_file: str | None = None
 
     def get(self, path: str, **parameters: object) -> Any:
-        """Send a GET request and return the JSON document of the response."""
+        """Send a GET request and return the JSON document of the response.
+
+        Raises
+        ------
+        AnswerError, UnreachableError, UsageError
+            As for `post`.
+        """
         given = {name: value for name, value in parameters.items() if value}
         query = f"?{urlencode(given)}" if given else ""
         return self._request("GET", path + query, b"")
--- a/packages/ctl/src/bergamotctl/logs.py
+++ b/packages/ctl/src/bergamotctl/logs.py
@@ -56,7 +56,11 @@
 
 
 def read_records(files: Iterable[Path]) -> Iterator[LogRecord]:
-    """Read log records; the word before the JSON document of a line is its source."""
+    """Read log records.
+
+    The source of a record is the word before its JSON document, or else the name of
+    its file.
+    """
     paths = list(files)
     if not paths:
         yield from _read_stream(sys.stdin, "")
--- a/packages/daemon/src/bergamotwood_daemon/admissiongate.py
+++ b/packages/daemon/src/bergamotwood_daemon/admissiongate.py
@@ -72,7 +72,7 @@
         self._refuse_all(self._admission.expire(now), Code.DEADLINE_EXCEEDED)
 
     def set_limits(self, directory: DirectoryTables, now: Seconds) -> None:
-        """Set the limit of each pool from what its endpoints announce."""
+        """Set the limit of each pool from the capacity and load of its endpoints."""
         totals: dict[str, _PoolTotal] = {}
         for endpoint in directory.endpoints.values():
             if endpoint.serving:
--- a/packages/daemon/src/bergamotwood_daemon/answer.py
+++ b/packages/daemon/src/bergamotwood_daemon/answer.py
@@ -66,6 +66,13 @@
         The version that answers.
     document : dict
         The caller's JSON document.
+
+    Attributes
+    ----------
+    first_token_seconds : float or None
+        Time from `started_at` to the first token; None before the first token.
+    started_at : Seconds
+        Time at which the answer was prepared.
     """
 
     def __init__(
--- a/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -66,7 +66,13 @@
         self._ratings = ratings
 
     def plan(self, call: ChatCall) -> CascadePlan:
-        """Choose the steps by the current configuration."""
+        """Choose the steps by the current configuration.
+
+        Raises
+        ------
+        RefusedError, AuthorizationError
+            No version may answer.
+        """
         return self._entry.policy.plan(
             call.context.workspace,
             call.request_class,
@@ -109,7 +115,13 @@
     def prepare_answer(
         self, call: ChatCall, version: VersionId, number: int = 0
     ) -> StepAnswer:
-        """Prepare the answer of one version; nothing is sent yet."""
+        """Prepare the answer of one version; nothing is sent yet.
+
+        Raises
+        ------
+        RefusedError
+            The version no longer exists.
+        """
         entity = self._entry.tables.configuration.versions.get(version)
         if entity is None:
             raise RefusedError(
--- a/packages/daemon/src/bergamotwood_daemon/chatcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/chatcall.py
@@ -113,7 +113,13 @@
 def make_context(
     entry: Entry, request: WebRequest, workspace: Workspace
 ) -> RequestContext:
-    """Create the context of a received request."""
+    """Create the context of a received request.
+
+    Raises
+    ------
+    RequestError
+        The body cannot be read, or the deadline or the priority is invalid.
+    """
     session = request.read_header("bergamotwood-session")
     id = entry.make_request_id()
     return RequestContext(
@@ -131,7 +137,13 @@
 
 
 def read_idempotency_key(request: WebRequest) -> IdempotencyKey | None:
-    """Read the caller's idempotency key."""
+    """Read the caller's idempotency key; None if it sent none.
+
+    Raises
+    ------
+    RequestError
+        The key is empty, too long or not printable.
+    """
     key = request.read_header("idempotency-key")
     if key is None:
         return None
--- a/packages/daemon/src/bergamotwood_daemon/claims.py
+++ b/packages/daemon/src/bergamotwood_daemon/claims.py
@@ -130,7 +130,13 @@
                 raise _make_claim_error(request, other)
 
     def check_backlog(self) -> None:
-        """Refuse new requests while too many ledger commands are unconfirmed."""
+        """Refuse new requests while too many ledger commands are unconfirmed.
+
+        Raises
+        ------
+        RefusedError
+            The limit of unconfirmed commands is reached.
+        """
         if self.unconfirmed_commands >= MAX_UNCONFIRMED_COMMANDS:
             raise RefusedError(
                 "too many claims and bills are waiting to be committed",
--- a/packages/daemon/src/bergamotwood_daemon/crashes.py
+++ b/packages/daemon/src/bergamotwood_daemon/crashes.py
@@ -96,7 +96,11 @@
 def list_avoided_endpoints(
     entry: Entry, context: RequestContext, target: Target
 ) -> frozenset[EndpointId]:
-    """List the endpoints to avoid, so that no two suspects run on the same one."""
+    """List the endpoints that a suspect must avoid; none for other requests.
+
+    They are the endpoint that crashed last while it ran the request, and others, so
+    that no two suspects run on the same one.
+    """
     if not context.is_suspect:
         return frozenset()
     suspects = entry.tables.configuration.suspects
--- a/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
+++ b/packages/daemon/src/bergamotwood_daemon/directoryfeed.py
@@ -45,6 +45,15 @@
     ----------
     boot : str
         Identifies this start of the replica; cursors of another start are invalid.
+
+    Attributes
+    ----------
+    cursor : int
+        Number of the newest change.
+    membership_cursor : int
+        Number of the newest change of membership: a new endpoint or entry, a change
+        of an endpoint's state, incarnation, versions or address, or of an entry's
+        state.
     """
 
     def __init__(self, boot: str) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/endpointcall.py
+++ b/packages/daemon/src/bergamotwood_daemon/endpointcall.py
@@ -153,7 +153,18 @@
         return bytes(body)
 
     def read_events(self, first_timeout: float, timeout: float) -> Iterator[bytes]:
-        """Yield the data of each server-sent event, until the body ends."""
+        """Yield the data of each server-sent event, until the body ends.
+
+        Parameters
+        ----------
+        first_timeout, timeout : float
+            Longest time without data in seconds, before the first data and later.
+
+        Raises
+        ------
+        EndpointError
+            As for `read`, or an event is larger than `MAX_EVENT_BYTES`.
+        """
         buffered = bytearray()
         wait = first_timeout
         while piece := self.read(wait):
--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -164,7 +164,7 @@
         return Answered(HttpResponse(head.status_code, headers, b"".join(pieces)))
 
     def send_request(self) -> h11.Response | Outcome:
-        """Send the request and return the response's head, if it is valid."""
+        """Send the request and return the response's head, or why none is valid."""
         try:
             self._send()
         except NotConnectedError as error:
@@ -186,7 +186,13 @@
         return self._check_head(head)
 
     def receive(self, seconds: float) -> h11.Event:
-        """Return the next event of the response, and record that data arrived."""
+        """Return the next event of the response, and record that data arrived.
+
+        Raises
+        ------
+        ConnectionBrokenError, ResponseTimeoutError
+            As for `EndpointConnection.receive`.
+        """
         event = self._connection.receive(max(seconds, 0.0))
         self._entry.health.record_traffic(
             self.heartbeat.endpoint, self.heartbeat.incarnation, self._entry.clock()
--- a/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/forwarder.py
@@ -60,7 +60,7 @@
 NO_ENDPOINT_RETRY_SECONDS = 0.6
 # Retry delay while this entry drains: the caller only has to connect to another one.
 DRAINING_RETRY_SECONDS = 0.02
-# Endpoints accept urgencies from 0, the most urgent, to 9; routes seldom exceed 3.
+# Endpoints accept priorities from 0, the most urgent, to 9; routes seldom exceed 3.
 MAX_PRIORITY = 9
 
 
--- a/packages/daemon/src/bergamotwood_daemon/gateway/peermessages.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/peermessages.py
@@ -54,8 +54,8 @@
     evidence : tuple of VersionEvidence
         Its request counts on versions that are being rolled out.
     open_sessions : tuple of SessionId
-        Sessions still open on an old version, of those that a roll-out is to
-        move first.
+        Sessions open on other versions that the first stage of a roll-out would
+        move.
     crashes : tuple of Crash
         Endpoints that broke the connection while they ran a request.
     successes : tuple of Success
--- a/packages/daemon/src/bergamotwood_daemon/gateway/server.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/server.py
@@ -238,7 +238,7 @@
         """Whether the server is closing and no further request has arrived.
 
         A response head that was sent before the server began to close did not
-        announce the close.
+        announce the close, so the caller may already have sent another request.
         """
         if not self._server.is_closing:
             return False
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -237,8 +237,8 @@
     def measure_age(self, now: Seconds) -> float:
         """Return how old the applied state may be, in seconds.
 
-        Everything that was committed that long ago is applied here; `inf` when
-        this is not known of any time.
+        Everything that was committed that long ago is applied here; `inf` before a
+        majority first confirms the leader.
         """
         return now - self._confirmed_at
 
--- a/packages/daemon/src/bergamotwood_daemon/operations.py
+++ b/packages/daemon/src/bergamotwood_daemon/operations.py
@@ -108,7 +108,7 @@
     is_voting: Callable[[], bool | None]
 
     def apply_ticket(self, request: WebRequest) -> Response:
-        """Submit a ticket; a resend gets the answer to the first submission."""
+        """Submit a ticket; a resend gets the log index of the first submission."""
         ticket = parse_ticket(request.read_body())
         operator = request.read_header("bergamotwood-operator") or "operator"
         command = ApplyTicket(ticket.model_dump_json().encode(), operator[:64])
--- a/packages/daemon/src/bergamotwood_daemon/peer.py
+++ b/packages/daemon/src/bergamotwood_daemon/peer.py
@@ -110,7 +110,13 @@
         add_PeerServicer_to_server(self, self._server)
 
     def start(self, address: Address) -> int:
-        """Listen on `address` and return the port; port 0 selects a free one."""
+        """Listen on `address` and return the port; port 0 selects a free one.
+
+        Raises
+        ------
+        OSError, RuntimeError
+            When it cannot listen on the address; gRPC raises the latter.
+        """
         port = self._bind(str(address))
         if port == 0:
             raise OSError(f"peer_listen: cannot listen on {address}")
@@ -161,7 +167,22 @@
 
 
 class PeerChannel:
-    """Client of one peer; after a failed call the next one opens a new connection."""
+    """Client of one peer; after a failed call the next one opens a new connection.
+
+    Parameters
+    ----------
+    address : Address
+        Address of the peer.
+    key : str
+        Instance key to present.
+    encryption : PeerEncryption or None
+        TLS of the connection; None for plaintext.
+
+    Attributes
+    ----------
+    sent_bytes, received_bytes : int
+        Total size of the bodies of calls and answers.
+    """
 
     def __init__(
         self, address: Address, key: str, encryption: "PeerEncryption | None" = None
@@ -236,7 +257,13 @@
 
 
 class ReplicationSender:
-    """Sends replication messages to one peer; batches those queued during a call."""
+    """Sends replication messages to one peer; batches those queued during a call.
+
+    Parameters
+    ----------
+    channel : PeerChannel
+        Channel to the peer.
+    """
 
     def __init__(self, channel: PeerChannel) -> None:
         self._channel = channel
@@ -266,7 +293,15 @@
 
 
 class GroupTransport:
-    """Transport of one log group, over senders that the groups share."""
+    """Transport of one log group, over senders that the groups share.
+
+    Parameters
+    ----------
+    group : str
+        Name of the log group.
+    senders : dict of InstanceId to ReplicationSender
+        Senders to the other replicas.
+    """
 
     def __init__(self, group: str, senders: dict[InstanceId, ReplicationSender]):
         self._group = group
--- a/packages/daemon/src/bergamotwood_daemon/relay.py
+++ b/packages/daemon/src/bergamotwood_daemon/relay.py
@@ -55,7 +55,10 @@
             self._greenlet.kill(block=False)
 
     def put(self, update: Update) -> None:
-        """Queue an update in place of an older one with the same key."""
+        """Queue an update in place of an older one with the same key.
+
+        The update is dropped when the queue is full.
+        """
         if len(self._pending_updates) < MAX_PENDING_UPDATES:
             self._pending_updates[_make_key(update)] = update
 
--- a/packages/daemon/src/bergamotwood_daemon/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/settings.py
@@ -177,6 +177,10 @@
         Rate limit of load orders.
     allow_plain : bool
         Whether the daemon may listen beyond loopback without encryption.
+    limits : Limits
+        Limits on requests and answers.
+    timeouts : Timeouts
+        Timeouts in seconds.
     """
 
     instance: Name
--- a/packages/daemon/src/bergamotwood_daemon/watch.py
+++ b/packages/daemon/src/bergamotwood_daemon/watch.py
@@ -53,6 +53,15 @@
         Returns the current time.
     rng : Random
         Source of jitter.
+
+    Attributes
+    ----------
+    machine : ControlMachine
+        The entry's own copy of the control state.
+    applied : LogIndex
+        Highest index of the control log that the entry has applied.
+    leader : InstanceId or None
+        Leader of the control group, as last reported by a replica.
     """
 
     def __init__(
@@ -104,7 +113,10 @@
         return sum(channel.received_bytes for channel in self._channels.values())
 
     def measure_age(self, now: Seconds) -> float:
-        """Return seconds since the configuration was last confirmed as newest."""
+        """Return seconds since the configuration was last confirmed as newest.
+
+        `inf` before the first confirmation.
+        """
         if self._confirmed_at is None:
             return float("inf")
         return now - self._confirmed_at
@@ -112,6 +124,8 @@
     def queue_announcement(self, announcement: Announcement, urgent: bool) -> None:
         """Queue an endpoint's announcement for the control replicas.
 
+        The announcement is dropped when the queue is full.
+
         Parameters
         ----------
         announcement : Announcement
@@ -126,7 +140,13 @@
             self._urgent_report.set()
 
     def report_now(self) -> bool:
-        """Report to a control replica at once; return whether one accepted it."""
+        """Report at once to the replicas in turn, until one with recent state answers.
+
+        Returns
+        -------
+        bool
+            Whether one did.
+        """
         return any(
             self._send_report(name, 0.0, REPORT_TIMEOUT_SECONDS)
             for name in list(self._replica_order)
@@ -154,7 +174,10 @@
     def _send_report(
         self, name: InstanceId, hold_seconds: float, timeout_seconds: float
     ) -> bool:
-        """Report to one replica, which may wait for changes, and apply its reply."""
+        """Report to one replica, which may wait for changes, and apply its reply.
+
+        Return whether it answered with recent state.
+        """
         announcements = tuple(self._pending_announcements.values())
         self._pending_announcements.clear()
         request = PollRequest(
--- a/packages/daemon/src/bergamotwood_daemon/web.py
+++ b/packages/daemon/src/bergamotwood_daemon/web.py
@@ -75,7 +75,13 @@
         return values[0] if values else None
 
     def read_number(self, name: str, default: int, maximum: int) -> int:
-        """Return a query parameter as a positive number, at most `maximum`."""
+        """Return a query parameter as a positive number, at most `maximum`.
+
+        Raises
+        ------
+        RequestError
+            The parameter is not a positive number.
+        """
         text = self.read_parameter(name)
         if text is None:
             return default
@@ -84,7 +90,7 @@
         return min(int(text), maximum)
 
     def read_header(self, name: str) -> str | None:
-        """Return a header field."""
+        """Return a header field; None if it is absent."""
         return self.environ.get("HTTP_" + name.upper().replace("-", "_"))
 
     def read_bearer_token(self) -> str:
@@ -105,7 +111,13 @@
         return self._body
 
     def read_json(self) -> Any:
-        """Decode the body as a JSON object."""
+        """Decode the body as a JSON object.
+
+        Raises
+        ------
+        RequestError
+            As for `read_body`, or the body is not a JSON object.
+        """
         try:
             document = json.decode(self.read_body())
         except (DecodeError, RecursionError, UnicodeDecodeError) as error:
