--- a/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/attempt.py
@@ -224,14 +224,14 @@
 
     def _receive_head(self) -> h11.Event:
         """Return the head, or give up early if the endpoint has gone silent."""
-        limit = self._entry.clock() + self._compute_head_timeout()
+        head_deadline = self._entry.clock() + self._compute_head_timeout()
         while True:
             now = self._entry.clock()
             try:
-                return self.receive(min(limit - now, SILENCE_CHECK_SECONDS))
+                return self.receive(min(head_deadline - now, SILENCE_CHECK_SECONDS))
             except ResponseTimeoutError:
                 now = self._entry.clock()
-                if now >= limit or self._should_abandon(now):
+                if now >= head_deadline or self._should_abandon(now):
                     raise
 
     def _should_abandon(self, now: Seconds) -> bool:
--- a/packages/daemon/src/bergamotwood_daemon/gateway/client.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/client.py
@@ -120,13 +120,13 @@
         ResponseTimeoutError
             When nothing arrives in time.
         """
-        limit = self._clock() + seconds
+        deadline = self._clock() + seconds
         try:
             while True:
                 event = self._http.next_event()
                 if event is not h11.NEED_DATA:
                     return self._check_event(event)
-                self._sock.settimeout(max(limit - self._clock(), 0.001))
+                self._sock.settimeout(max(deadline - self._clock(), 0.001))
                 self._http.receive_data(self._sock.recv(READ_BYTES))
         except TimeoutError as error:
             raise ResponseTimeoutError(
--- a/packages/daemon/src/bergamotwood_daemon/gateway/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/daemon.py
@@ -127,13 +127,13 @@
             self.entry.maintain()
 
     def _shut_down(self) -> None:
-        limit = (
+        deadline = (
             read_clock()
             + self.settings.bounds.grace_period_seconds
             - SHUTDOWN_RESERVE_SECONDS
         )
         if self.entry is not None:
-            self._drain_callers(limit)
+            self._drain_callers(deadline)
         if self.replica is not None:
             # A disk that hangs must not delay the exit of the process.
             with Timeout(SHUTDOWN_RESERVE_SECONDS, False):
@@ -141,7 +141,7 @@
         log_event("daemon", "Stopped.")
         self._stopped.set()
 
-    def _drain_callers(self, limit: float) -> None:
+    def _drain_callers(self, deadline: float) -> None:
         """Serve until callers' address lists expire, then finish open requests."""
         self.entry.is_draining = True
         self.entry.poller.report_now()
@@ -150,9 +150,9 @@
         self.entry.rejects_requests = True
         self._caller_server.stop_listening()
         self._caller_server.close_idle()
-        self._wait_until(lambda: not self._caller_server.active_requests, limit)
+        self._wait_until(lambda: not self._caller_server.active_requests, deadline)
         self.entry.poller.stop()
 
-    def _wait_until(self, is_met: Callable[[], bool], limit: float) -> None:
-        while not is_met() and read_clock() < limit:
+    def _wait_until(self, is_met: Callable[[], bool], deadline: float) -> None:
+        while not is_met() and read_clock() < deadline:
             sleep(POLL_INTERVAL_SECONDS)
--- a/packages/daemon/src/bergamotwood_daemon/gateway/entries.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/entries.py
@@ -48,8 +48,12 @@
 
     def expire(self) -> None:
         """Remove entries that have stopped reporting."""
-        limit = self._clock() - ENTRY_EXPIRY_SECONDS
-        for instance in [key for key, at in self._received_at.items() if at < limit]:
+        cutoff = self._clock() - ENTRY_EXPIRY_SECONDS
+        for instance in [
+            key
+            for key, received_at in self._received_at.items()
+            if received_at < cutoff
+        ]:
             self._loads.subtract(self._statuses.pop(instance).loads)
             del self._received_at[instance]
             self.version += 1
--- a/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/replica.py
@@ -397,9 +397,9 @@
         )
 
     def _wait_for_change(self, request: SyncRequest) -> None:
-        limit = self._clock() + min(request.hold_seconds, MAX_LONG_POLL_SECONDS)
+        deadline = self._clock() + min(request.hold_seconds, MAX_LONG_POLL_SECONDS)
         while not self._has_change(request):
-            remaining = limit - self._clock()
+            remaining = deadline - self._clock()
             if remaining <= 0.0:
                 return
             self._state_changed.wait(remaining)
@@ -434,9 +434,9 @@
         failure : str
             Detail of the error that is raised after the deadline.
         """
-        limit = self._clock() + self._settings.bounds.acknowledge_timeout_seconds
+        deadline = self._clock() + self._settings.bounds.acknowledge_timeout_seconds
         while True:
-            left = limit - self._clock()
+            left = deadline - self._clock()
             if left <= 0.0:
                 raise ReplicationError(failure)
             try:
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -364,9 +364,9 @@
             for proposal in pending:
                 proposal.result.set_exception(error)
             return
-        for at, proposal in enumerate(pending):
+        for offset, proposal in enumerate(pending):
             self._pending_proposals.add(
-                LogIndex(first + at), self._replica.term, proposal
+                LogIndex(first + offset), self._replica.term, proposal
             )
 
     def _apply_effects(self, effects: Effects) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/pendingproposals.py
+++ b/packages/daemon/src/bergamotwood_daemon/pendingproposals.py
@@ -35,7 +35,7 @@
 
     def fail_through(self, index: LogIndex) -> None:
         """Fail the proposals up to an index that a received snapshot contains."""
-        for pending_index in [held for held in self._proposals if held <= index]:
+        for pending_index in [key for key in self._proposals if key <= index]:
             _, proposal = self._proposals.pop(pending_index)
             proposal.result.set_exception(
                 ReplicationError("answer lost: entry was applied by a snapshot")
--- a/tests/ctl/test_daemon.py
+++ b/tests/ctl/test_daemon.py
@@ -66,12 +66,12 @@
 
 
 def call_when_ready(address, *arguments, body=None):
-    limit = monotonic() + START_SECONDS
+    deadline = monotonic() + START_SECONDS
     while True:
         result = call(address, *arguments, body=body)
         if result.exit_code not in (ExitCode.UNREACHABLE, ExitCode.UNAVAILABLE):
             return result
-        assert monotonic() < limit, result.output
+        assert monotonic() < deadline, result.output
         sleep(0.1)
 
 
--- a/tests/daemon/gateway/test_entries.py
+++ b/tests/daemon/gateway/test_entries.py
@@ -12,7 +12,7 @@
 from bergamotwood_daemon.gateway.entries import ENTRY_EXPIRY_SECONDS, EntryTable
 from bergamotwood_daemon.gateway.peermessages import EntryAddress, EntryStatus
 
-ENGINE = EndpointId("e-1")
+ENDPOINT = EndpointId("e-1")
 
 
 class Clock:
@@ -32,7 +32,7 @@
         ),
         Incarnation(1),
         sequence,
-        {ENGINE: load} if load else {},
+        {ENDPOINT: load} if load else {},
         **changes,
     )
 
@@ -41,17 +41,17 @@
     table = EntryTable(Clock())
     table.update(make_status(1, load=EndpointLoad(2, 0.5)))
     table.update(make_status(2, load=EndpointLoad(1, 0.25)))
-    assert table.list_loads(InstanceId("i1")) == {ENGINE: EndpointLoad(1, 0.25)}
-    assert table.list_loads(InstanceId("i3")) == {ENGINE: EndpointLoad(3, 0.75)}
+    assert table.list_loads(InstanceId("i1")) == {ENDPOINT: EndpointLoad(1, 0.25)}
+    assert table.list_loads(InstanceId("i3")) == {ENDPOINT: EndpointLoad(3, 0.75)}
     table.update(make_status(1, 2))
-    assert table.list_loads(InstanceId("i3")) == {ENGINE: EndpointLoad(1, 0.25)}
+    assert table.list_loads(InstanceId("i3")) == {ENDPOINT: EndpointLoad(1, 0.25)}
 
 
 def test_an_outdated_status_is_ignored():
     table = EntryTable(Clock())
     assert table.update(make_status(1, 2, load=EndpointLoad(1, 0.25)))
     assert not table.update(make_status(1, 1, load=EndpointLoad(9, 9.0)))
-    assert table.list_loads(InstanceId("i2")) == {ENGINE: EndpointLoad(1, 0.25)}
+    assert table.list_loads(InstanceId("i2")) == {ENDPOINT: EndpointLoad(1, 0.25)}
 
 
 def test_an_entry_that_stops_reporting_is_removed_with_its_load():
@@ -66,7 +66,7 @@
 
 
 def test_crashes_and_open_sessions_are_listed_once():
-    crash = Crash(Fingerprint("f"), ENGINE, Incarnation(1), 0.5)
+    crash = Crash(Fingerprint("f"), ENDPOINT, Incarnation(1), 0.5)
     table = EntryTable(Clock())
     sessions = (SessionId("s1"), SessionId("s2"))
     table.update(make_status(1, crashes=(crash,), open_sessions=sessions))
--- a/tests/daemon/gateway/test_server.py
+++ b/tests/daemon/gateway/test_server.py
@@ -147,7 +147,7 @@
     assert caller.read().status == 200
 
 
-def test_a_request_that_crosses_the_close_is_not_forwarded(make_harness):
+def test_a_request_that_arrives_after_the_close_is_not_forwarded(make_harness):
     harness = make_harness(configure(), one=answer)
     caller = harness.connect()
     assert caller.call().status == 200
--- a/tests/daemon/loggroups.py
+++ b/tests/daemon/loggroups.py
@@ -115,8 +115,8 @@
 
 
 def wait_until(condition, seconds=20.0):
-    limit = monotonic() + seconds
+    deadline = monotonic() + seconds
     while not condition():
-        if monotonic() > limit:
+        if monotonic() > deadline:
             raise AssertionError(f"condition not met within {seconds} s")
         sleep(0.01)
--- a/tests/daemon/test_group.py
+++ b/tests/daemon/test_group.py
@@ -239,9 +239,9 @@
     leader = cluster.start_all()
     release = ThreadEvent()
     pool = get_hub().threadpool
-    held = [pool.spawn(release.wait) for _ in range(pool.maxsize)]
+    blocked = [pool.spawn(release.wait) for _ in range(pool.maxsize)]
     try:
         assert leader.propose(b"one", 5.0).endswith(b":one")
     finally:
         release.set()
-        joinall(held)
+        joinall(blocked)
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -23,8 +23,8 @@
 GENESIS = Genesis("g", MEMBERS)
 
 
-def open_journal(folder, fresh="r1"):
-    return Journal(Path(folder), ReplicaId(fresh))
+def open_journal(folder, new_identity="r1"):
+    return Journal(Path(folder), ReplicaId(new_identity))
 
 
 def build_entry(index, term=1, command=None):
@@ -45,8 +45,8 @@
     journal.close()
 
 
-def read_saved(folder, fresh="other"):
-    journal = open_journal(folder, fresh)
+def read_saved(folder, new_identity="other"):
+    journal = open_journal(folder, new_identity)
     journal.close()
     return journal.saved
 
@@ -66,8 +66,8 @@
     journal.save([HardState(Term(2)), build_entries(5, 6, term=2)])
     journal.close()
     saved = read_saved(tmp_path)
-    wanted = build_entries(1, 4).entries + build_entries(5, 6, term=2).entries
-    assert saved.entries == wanted
+    expected = build_entries(1, 4).entries + build_entries(5, 6, term=2).entries
+    assert saved.entries == expected
     assert saved.hard_state == HardState(Term(2))
 
 
@@ -75,7 +75,7 @@
     write_batches(tmp_path, 1)
     for file in tmp_path.iterdir():
         file.unlink()
-    saved = read_saved(tmp_path, fresh="r2")
+    saved = read_saved(tmp_path, new_identity="r2")
     assert saved.replica == "r2"
     assert saved.genesis is None
     assert saved.entries == ()
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -79,8 +79,8 @@
 
 def test_all_faults_are_reported_at_once():
     faults = find_faults(data_folder=None, listen={"port": -1}, colour=1)
-    places = {fault.split(":")[0] for fault in faults}
-    assert places == {"data_folder", "listen.port", "colour"}
+    keys = {fault.split(":")[0] for fault in faults}
+    assert keys == {"data_folder", "listen.port", "colour"}
 
 
 def test_faults_do_not_contain_secrets():
@@ -164,7 +164,7 @@
 
 def _list_keys(model: type[BaseModel], prefix: str = "") -> Iterator[tuple[str, str]]:
     for name, field in model.model_fields.items():
-        place = prefix + name
+        key = prefix + name
         parts = [
             part
             for part in (field.annotation, *get_args(field.annotation))
@@ -172,9 +172,9 @@
         ]
         is_list = get_origin(field.annotation) is tuple
         if not parts or is_list:
-            yield place, _format_default(field)
+            yield key, _format_default(field)
         if parts:
-            yield from _list_keys(parts[0], f"{place}[]." if is_list else f"{place}.")
+            yield from _list_keys(parts[0], f"{key}[]." if is_list else f"{key}.")
 
 
 def _format_default(field: FieldInfo) -> str:
--- a/tests/platform/test_api.py
+++ b/tests/platform/test_api.py
@@ -102,8 +102,8 @@
     assert call(router, "POST", replace, b"document").status == 200
     read = call(router, "GET", "/bergamotwood/config/read")
     assert read.body == b'{"version": 7,  "as": "sent"}'
-    order = b'{"service": "plain", "target": "v2", "duration_s": 9}'
-    assert call(router, "POST", "/bergamotwood/rollouts/begin", order).status == 200
+    rollout = b'{"service": "plain", "target": "v2", "duration_s": 9}'
+    assert call(router, "POST", "/bergamotwood/rollouts/begin", rollout).status == 200
     state = call(router, "GET", "/bergamotwood/rollouts/plain/read")
     assert json.decode(state.body) == {"state": "in_progress", "target": "v2"}
     assert call(router, "GET", "/bergamotwood/rollouts/none/read").status == 404
