--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -164,7 +164,7 @@
 
 def _list_keys(model: type[BaseModel], prefix: str = "") -> Iterator[tuple[str, str]]:
     for name, field in model.model_fields.items():
-        key = prefix + name
+        place = prefix + name
         parts = [
             part
             for part in (field.annotation, *get_args(field.annotation))
@@ -172,9 +172,9 @@
         ]
         is_list = get_origin(field.annotation) is tuple
         if not parts or is_list:
-            yield key, _format_default(field)
+            yield place, _format_default(field)
         if parts:
-            yield from _list_keys(parts[0], f"{key}[]." if is_list else f"{key}.")
+            yield from _list_keys(parts[0], f"{place}[]." if is_list else f"{place}.")
 
 
 def _format_default(field: FieldInfo) -> str:
