--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -237,8 +237,8 @@
     def measure_age(self, now: Seconds) -> float:
         """Return how old the applied state may be, in seconds.
 
-        Everything that was committed that long ago is applied here; `inf` when
-        this is not known of any time.
+        Everything that was committed that long ago is applied here; `inf` before a
+        majority first confirms the leader.
         """
         return now - self._confirmed_at
 
@@ -364,9 +364,9 @@
             for proposal in pending:
                 proposal.result.set_exception(error)
             return
-        for at, proposal in enumerate(pending):
+        for offset, proposal in enumerate(pending):
             self._pending_proposals.add(
-                LogIndex(first + at), self._replica.term, proposal
+                LogIndex(first + offset), self._replica.term, proposal
             )
 
     def _apply_effects(self, effects: Effects) -> None:
--- a/tests/daemon/test_settings.py
+++ b/tests/daemon/test_settings.py
@@ -79,8 +79,8 @@
 
 def test_all_faults_are_reported_at_once():
     faults = find_faults(data_folder=None, listen={"port": -1}, colour=1)
-    places = {fault.split(":")[0] for fault in faults}
-    assert places == {"data_folder", "listen.port", "colour"}
+    keys = {fault.split(":")[0] for fault in faults}
+    assert keys == {"data_folder", "listen.port", "colour"}
 
 
 def test_faults_do_not_contain_secrets():
