--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -346,7 +346,7 @@
         self._record_outcome("failed", is_good=False)
 
     def abort(self) -> None:
-        """Fail because the entry restarted; the engine is not told."""
+        """Fail because the entry restarted, without cancelling the engine's work."""
         self.generation = None
         self._record_outcome("failed", is_good=False)
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -204,7 +204,10 @@
 
 
 def measure_tickets() -> list[Row]:
-    """Measure the size of a configuration change and an entry's time to apply it."""
+    """Measure the size of a configuration change and an entry's time to apply it.
+
+    The last row is the size of a snapshot after all changes.
+    """
     machine = ControlMachine()
     commands = [
         encode_command(ApplyTicket(_make_ticket(number))) for number in range(1, 201)
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -20,7 +20,7 @@
 from bergamotwood_core.states import EndpointKind
 from bergamotwood_core.tables import DirectoryTables
 
-# Numbers of endpoints and entries: today, at the target, and one size between.
+# Numbers of endpoints and entries: the present fleet, an intermediate size, the target.
 SIZES = ((15, 8), (200, 60), (1_600, 330))
 PREFIXES = (0, 64)
 ROUNDS = 20
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -374,7 +374,13 @@
     bad_after: int
 
     def count_exposed(self, limit: float) -> tuple[bool, float]:
-        """Return whether a z limit stops the canary, and its requests while bad."""
+        """Count the requests that the candidate gets while bad, under a z limit.
+
+        Returns
+        -------
+        tuple of bool and float
+            Whether the limit stops the canary, and the number of these requests.
+        """
         exposed = 0.0
         for stage, statistic in enumerate(self.statistics):
             delayed = STAGES[stage] * REQUESTS_PER_SECOND * CANARY_DELAY_SECONDS
--- a/packages/fakes/src/bergamotwood_fakes/answer.py
+++ b/packages/fakes/src/bergamotwood_fakes/answer.py
@@ -85,7 +85,8 @@
     quality : float
         Quality of this answer, which its text states.
     token_count : int, optional
-        Exact number of tokens, but at least two; by default it depends on the prompt.
+        Exact number of tokens, but at least two; by default it depends on the version
+        and the prompt.
 
     Returns
     -------
--- a/packages/fakes/src/bergamotwood_fakes/checks.py
+++ b/packages/fakes/src/bergamotwood_fakes/checks.py
@@ -16,7 +16,7 @@
 # Time after the start of an endpoint's shutdown in which it may get new work.
 LEAVE_GRACE_SECONDS = 4.0
 # Default of the daemons' `max_config_age_seconds`. An entry whose configuration was
-# last confirmed longer ago takes no new work, so that it may lag behind the tickets.
+# last confirmed longer ago takes no new work and may therefore lag behind the tickets.
 MAX_FRESH_AGE_SECONDS = 5.0
 
 
--- a/packages/fakes/src/bergamotwood_fakes/demo.py
+++ b/packages/fakes/src/bergamotwood_fakes/demo.py
@@ -31,7 +31,10 @@
 
 
 def read_chapter(path: Path | None) -> str:
-    """Read the text to send, by default the project's pages, repeated as needed."""
+    """Read the text to send.
+
+    By default it is the project's pages, repeated to at least `CHAPTER_WORDS` words.
+    """
     if path is not None:
         return path.read_text()
     pages = "\n\n".join(page.read_text() for page in sorted(DOCS.rglob("*.md")))
--- a/packages/fakes/src/bergamotwood_fakes/language.py
+++ b/packages/fakes/src/bergamotwood_fakes/language.py
@@ -64,7 +64,7 @@
 
 
 def _check_names(path: Path, scenario: Scenario) -> None:
-    """Check that the processes and tickets named in steps exist."""
+    """Check that the processes of `PROCESS_VERBS` and the submitted tickets exist."""
     plan = scenario.fleet
     entries = {make_entry_name(number + 1) for number in range(plan.entries)}
     endpoints = {endpoint.name for endpoint in (*plan.engines, *plan.services)}
--- a/packages/fakes/src/bergamotwood_fakes/proxy.py
+++ b/packages/fakes/src/bergamotwood_fakes/proxy.py
@@ -160,6 +160,7 @@
     """Run a fault-injecting proxy until SIGTERM."""
     proxy = Proxy(seed)
     server = make_server(listen, proxy.handle_request)
+    # Connections often break under faults; gevent would print a traceback for each.
     gevent.get_hub().NOT_ERROR += (ConnectionError,)
     run_until_stopped(server, "proxy", "proxy")
 
--- a/packages/fakes/src/bergamotwood_fakes/record.py
+++ b/packages/fakes/src/bergamotwood_fakes/record.py
@@ -92,7 +92,7 @@
 
 
 def read_records(path: Path) -> list[Record]:
-    """Read the records of a file and skip a truncated last line."""
+    """Read the records of a file; skip invalid lines, such as a truncated last one."""
     if not path.exists():
         return []
     records = []
--- a/packages/fakes/src/bergamotwood_fakes/service.py
+++ b/packages/fakes/src/bergamotwood_fakes/service.py
@@ -33,7 +33,7 @@
 
 
 class Service:
-    """Answers payments, availability checks, and an echo for other requests.
+    """Answers payments, licences and availability checks, and echoes other requests.
 
     Parameters
     ----------
