--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -377,8 +377,8 @@
     if drift is Drift.DRIFT:
         edges = [round(count * block / BLOCKS) for block in range(BLOCKS + 1)]
     else:
-        moved = np.any(np.diff(answers.probabilities, axis=0) != 0.0, axis=(1, 2))
-        edges = [0, *(np.flatnonzero(moved) + 1).tolist(), count]
+        changed = np.any(np.diff(answers.probabilities, axis=0) != 0.0, axis=(1, 2))
+        edges = [0, *(np.flatnonzero(changed) + 1).tolist(), count]
     return list(zip(edges, edges[1:], strict=False))
 
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -110,8 +110,8 @@
     Exactly as many requests as the engines have slots are in flight at any time.
     They have the mix of the traffic and are placed by the router's own policy.
     """
-    full = replace(settings, admission=False, silence_seconds=1e9)
-    fleet = Fleet(full, choose_endpoint, seed, WORKSPACES)
+    unlimited = replace(settings, admission=False, silence_seconds=1e9)
+    fleet = Fleet(unlimited, choose_endpoint, seed, WORKSPACES)
     requests = make_requests(100.0, 1e9, Random(seed))
     ends: list[float] = []
 
--- a/packages/fakes/src/bergamotwood_fakes/timeline.py
+++ b/packages/fakes/src/bergamotwood_fakes/timeline.py
@@ -44,8 +44,10 @@
         self.configurations = [Configuration()]
         accepted = [ticket for ticket in tickets if ticket.accepted]
         for number in sorted({ticket.number for ticket in accepted}):
-            same = [ticket for ticket in accepted if ticket.number == number]
-            self.configurations.append(_apply_ticket(self.configurations[-1], same))
+            submissions = [ticket for ticket in accepted if ticket.number == number]
+            self.configurations.append(
+                _apply_ticket(self.configurations[-1], submissions)
+            )
 
     def find_possible(self, time: float) -> list[Configuration]:
         """Find the configurations that an entry may apply at a time, oldest first."""
--- a/tests/fakes/conftest.py
+++ b/tests/fakes/conftest.py
@@ -17,8 +17,8 @@
 
     def call(self, method, path, body=b"", **headers):
         client = HTTPClient(HOST, self.port)
-        names = {name.replace("_", "-"): value for name, value in headers.items()}
-        response = client.request(method, path, body=body, headers=names)
+        fields = {name.replace("_", "-"): value for name, value in headers.items()}
+        response = client.request(method, path, body=body, headers=fields)
         return response.status_code, bytes(response.read())
 
     def stop(self):
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -174,10 +174,10 @@
     )
     runs = [make_run(), make_run(request="r")]
     stop = Disturbance("entry-1", "stop", 49.0, 55.0, is_graceful=True)
-    crash = Disturbance("entry-1", "link cut", 49.0, 50.5)
+    link_cut = Disturbance("entry-1", "link cut", 49.0, 50.5)
     many = [cut, *(make_attempt(request="r") for _ in range(20))]
     assert "cut by a stop" in check(many, runs, disturbances=[stop])
-    assert "cut by a stop" not in check(many, runs, disturbances=[stop, crash])
+    assert "cut by a stop" not in check(many, runs, disturbances=[stop, link_cut])
     failed_runs = [make_run(has_failed=True), make_run(request="r")]
     assert "cut by a stop" not in check(many, failed_runs, disturbances=[stop])
     assert "cut by a stop" not in check(many, [runs[1]], disturbances=[stop])
