--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -2,12 +2,15 @@
 import os
 import sys
 from pathlib import Path
+from runpy import run_path
 from subprocess import run
 
 from msgspec import convert
 from pytest import fixture, mark
 
+from bergamotwood_fakes.language import load_scenario
 from bergamotwood_fakes.report import Result, write_results
+from bergamotwood_fakes.step import ExpectStep
 
 ROOT = Path(__file__).parents[2]
 SCRIPT = ROOT / ".ci" / "known_red.py"
@@ -111,6 +114,21 @@
     assert check(results_path).returncode == 0
 
 
+def test_known_case_agrees_with_the_scenario():
+    known = run_path(str(SCRIPT))
+    requests = known["REQUESTS"]
+    scenario = load_scenario(ROOT / "scenarios" / "tickets_raced.yaml")
+    (send,) = [step.send for step in scenario.steps if step.send is not None]
+    expects = [step.expect for step in scenario.steps if step.expect is not None]
+    assert scenario.name == known["SCENARIO"]
+    assert (send.count, send.rate) == (requests, known["REQUESTS_PER_SECOND"])
+    assert (send.turns, send.race, send.resend) == (1, False, False)
+    assert expects == [ExpectStep(of=send.id, answered=(requests, requests))]
+    assert known["make_known_case"](1)["unmet"] == [
+        f"{send.id}: {requests - 1} answered, expected {requests} to {requests}"
+    ]
+
+
 @mark.parametrize(
     "changes, difference",
     [
