--- a/tests/core/gateway/test_rollout.py
+++ b/tests/core/gateway/test_rollout.py
@@ -30,7 +30,7 @@
 
 
 def test_share_grows_with_time_and_requires_evidence_and_capacity():
-    shares = [choose_share(ROLLOUT, at, ENOUGH, True) for at in range(21)]
+    shares = [choose_share(ROLLOUT, t, ENOUGH, True) for t in range(21)]
     assert shares == sorted(shares)
     assert shares[0] == 0.0
     assert shares[10] == FIRST_SHARE
@@ -41,8 +41,8 @@
 
 
 def test_session_moves_to_the_new_version_once_and_stays():
-    for at in range(300):
-        session = f"s{at}"
+    for index in range(300):
+        session = f"s{index}"
         on_target = [
             is_on_target(
                 make_view(t, choose_share(ROLLOUT, t, ENOUGH, True)), session, False
@@ -54,9 +54,9 @@
 
 def test_open_sessions_stay_on_their_version_in_the_first_half():
     moved = [
-        f"s{at}"
-        for at in range(400)
-        if is_on_target(make_view(5.0, 0.1), f"s{at}", False)
+        f"s{index}"
+        for index in range(400)
+        if is_on_target(make_view(5.0, 0.1), f"s{index}", False)
     ]
     assert 20 < len(moved) < 60
     assert not any(
@@ -67,8 +67,8 @@
 
 def test_open_sessions_of_other_versions_are_listed_until_they_expire():
     sessions = SessionVersions(5.0)
-    for at in range(200):
-        sessions.record(SERVICE, SessionId(f"s{at}"), "v1", Seconds(10.0))
+    for index in range(200):
+        sessions.record(SERVICE, SessionId(f"s{index}"), "v1", Seconds(10.0))
     sessions.record(SERVICE, SessionId("s0"), "v2", Seconds(10.0))
     listed = sessions.list_open(ROLLOUT, Seconds(11.0))
     assert 5 < len(listed) < 35
