--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -63,6 +63,7 @@
     first_token_at: float | None = None
     step_seconds: float = 0.0
     cached_tokens: int = 0
+    # Value of the engine's `stall_seconds` that the scheduled end accounts for.
     stall_seconds: float = 0.0
     is_closed: bool = False
 
@@ -89,6 +90,7 @@
     queue: list[tuple[int, int, Job]] = field(default_factory=list)
     cache: OrderedDict[int, int] = field(default_factory=OrderedDict)
     prefill_free_at: float = 0.0
+    # Sum of the delays that all prefills so far have caused to decoding.
     stall_seconds: float = 0.0
     received: int = 0
     incarnation: int = 1
@@ -118,7 +120,7 @@
         heapify(self.queue)
 
     def crash(self, down_seconds: float) -> list[Job]:
-        """Fail all queued and running jobs, and restart after a downtime in seconds."""
+        """Fail and return all jobs, and restart after a downtime in seconds."""
         lost = [*self.running, *(item[2] for item in self.queue)]
         self.running.clear()
         self.queue.clear()
@@ -195,7 +197,10 @@
             action()
 
     def _use_cache(self, job: Job) -> int:
-        """Return the cached tokens of the prefix, and cache it in LRU order."""
+        """Return the number of cached prefix tokens, and cache the whole prefix.
+
+        Evicts the least recently used prefixes if the cache is full.
+        """
         reusable_tokens = self.cache.pop(job.prefix, 0)
         self.cache[job.prefix] = max(reusable_tokens, job.prefix_tokens)
         total = sum(self.cache.values())
--- a/packages/core/src/bergamotwood_core/admission.py
+++ b/packages/core/src/bergamotwood_core/admission.py
@@ -229,7 +229,7 @@
         Returns
         -------
         tuple of RequestId
-            Removed requests, which the caller must refuse.
+            Removed requests, which must be refused.
         """
         expired = [
             waiting.id
--- a/packages/core/src/bergamotwood_core/gateway/call.py
+++ b/packages/core/src/bergamotwood_core/gateway/call.py
@@ -39,7 +39,7 @@
     request : RequestId
         Identifies the request; a retry by the caller has a new id.
     timeout_seconds : float or None
-        Seconds that the caller waits for the answer.
+        Seconds that the caller waits for the answer; None if it set no limit.
     key : str
         API key of the workspace; empty if none was sent.
     session : SessionId
--- a/packages/core/src/bergamotwood_core/tables.py
+++ b/packages/core/src/bergamotwood_core/tables.py
@@ -45,8 +45,7 @@
     announcement : Announcement
         Its newest announcement.
     heard_at : Seconds
-        When that announcement reached this daemon; for a forwarded one, minus its
-        age.
+        When that announcement reached this daemon.
     outstanding : int
         Requests that this daemon is running there.
     outstanding_at_report : int
--- a/packages/ctl/src/bergamotctl/output.py
+++ b/packages/ctl/src/bergamotctl/output.py
@@ -13,14 +13,14 @@
 
 
 def print_table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Print rows under their headers, columns aligned.
+    """Print rows under their headers, columns aligned; `(none)` if there are no rows.
 
     Parameters
     ----------
     headers : sequence of str
         One for each column.
     rows : iterable of sequence
-        Cells; None is shown as `-`.
+        Cells; None and empty ones are shown as `-`.
     """
     lines = [list(headers), *([format_cell(cell) for cell in row] for row in rows)]
     widths = [
@@ -34,7 +34,7 @@
 
 
 def format_cell(cell: object) -> str:
-    """Format one cell."""
+    """Return the text of a cell on one line."""
     match cell:
         case None | "":
             return "-"
--- a/packages/daemon/src/bergamotwood_daemon/gateway/controlpoller.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/controlpoller.py
@@ -21,8 +21,8 @@
 from bergamotwood_daemon.log import log_event
 from bergamotwood_daemon.peer import POLL
 
-# How long a replica may wait for a change before it answers: about a third of the
-# time after which an entry that does not report is dropped.
+# How long a replica may wait for a change before it answers. Each poll reports the
+# entry, which is dropped if it does not report for more than three times as long.
 LONG_POLL_SECONDS = 0.4
 # Longer than the long poll plus a round trip, and short enough to try three
 # replicas within the key lease.
--- a/packages/daemon/src/bergamotwood_daemon/group.py
+++ b/packages/daemon/src/bergamotwood_daemon/group.py
@@ -54,7 +54,7 @@
     transport : Transport
         Sends messages to the other replicas.
     clock : Callable
-        Returns seconds of a clock that also advances while the machine is suspended.
+        Returns seconds of a clock that also advances while the host is suspended.
     rng : Random
         Randomizes election timeouts.
     """
@@ -253,7 +253,10 @@
         return FencingToken(self.term, self.applied)
 
     def add_apply_callback(self, callback: Callable[[], None]) -> None:
-        """Add a function to call after entries or a snapshot; it must not block."""
+        """Add a function to call after entries or a snapshot were applied.
+
+        The function must not block.
+        """
         self._callbacks.append(callback)
 
     def read_barrier(self, timeout: float) -> None:
--- a/packages/daemon/src/bergamotwood_daemon/settings.py
+++ b/packages/daemon/src/bergamotwood_daemon/settings.py
@@ -240,8 +240,8 @@
     Raises
     ------
     SettingsError
-        When the file is invalid. Lists every fault with key, value and what is
-        allowed.
+        When the file cannot be read or is invalid. Lists every fault with key, value
+        and what is allowed.
     """
     try:
         content = path.read_bytes()
--- a/tests/core/gateway/test_rollout.py
+++ b/tests/core/gateway/test_rollout.py
@@ -81,7 +81,8 @@
 def simulate_rollout(rates, seed, seconds=24.0, rate=20.0, baseline=0.01):
     """Simulate a roll-out.
 
-    Returns its outcome, the requests on the new version and its bad answers.
+    Returns its outcome, the requests on the new version and its bad answers. By
+    default, 480 requests arrive in 24 s.
 
     Parameters
     ----------
--- a/tests/core/gateway/test_suspects.py
+++ b/tests/core/gateway/test_suspects.py
@@ -43,7 +43,11 @@
 
 
 def test_success_at_one_entry_clears_the_request_at_all_entries():
-    """Guards against suspending equal requests of many callers that fail by chance."""
+    """Guards against suspending a request that many callers send.
+
+    At each entry some of these requests lose their endpoint by chance, while others
+    succeed.
+    """
     tables = [SuspectTable() for _ in range(3)]
     record_crash(tables[0], "a", 1.0)
     record_crash(tables[1], "b", 1.5)
