--- a/packages/core/src/bergamotwood_core/allocation.py
+++ b/packages/core/src/bergamotwood_core/allocation.py
@@ -34,8 +34,8 @@
 ) -> list[OptionMix]:
     """Find the mixes of least cost for a mean quality, within a limit on ratings.
 
-    Bisects over a price per rating, in cost units, until the expected number of
-    ratings meets the limit.
+    Bisects a price per rating, in cost units, to find the lowest one at which the
+    expected number of ratings stays within the limit.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/document.py
+++ b/packages/core/src/bergamotwood_core/document.py
@@ -35,8 +35,8 @@
 def load_document(text: str | bytes, limit: int = MAX_DOCUMENT_BYTES) -> Any:
     """Read one YAML or JSON document.
 
-    Duplicate keys and YAML aliases are faults, since they hide from a reader
-    what the document means.
+    Duplicate keys and YAML aliases are faults, so that a document means what its
+    reader sees.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/logmessages.py
+++ b/packages/core/src/bergamotwood_core/logmessages.py
@@ -10,7 +10,7 @@
 
 
 class FollowerTime(Struct, frozen=True, array_like=True):
-    """A reading of a follower's clock, valid within one run of its process."""
+    """A reading of a follower's clock, valid only in run `session` of its process."""
 
     session: int
     at: Seconds
--- a/packages/core/src/bergamotwood_core/watermark.py
+++ b/packages/core/src/bergamotwood_core/watermark.py
@@ -7,8 +7,7 @@
 
 from bergamotwood_core.ids import Incarnation, InstanceId, RequestId, Sequence
 
-# Sequence numbers of an entry, counted back from the newest, whose bills are still
-# accepted.
+# Bills are accepted for this many of the newest sequence numbers of an incarnation.
 WINDOW_SIZE = 65_536
 # Incarnations of one entry, and entries, for which windows are kept.
 MAX_INCARNATIONS = 3
--- a/packages/daemon/src/bergamotwood_daemon/claims.py
+++ b/packages/daemon/src/bergamotwood_daemon/claims.py
@@ -117,9 +117,11 @@
         Raises
         ------
         IdempotencyError
-            The key cannot be claimed, or the outcome of its run is not known.
+            The key cannot be claimed, or its run has no answer to return: the outcome
+            is not known, the bill is not confirmed or the answer was not kept.
         EndpointError, RefusedError
-            The run failed; `run` says whether the request may have run.
+            The ledger did not confirm the claim, or the run failed; `run` says whether
+            the request may have run.
         """
         match self._claim(request):
             case Granted():
--- a/packages/fakes/src/bergamotwood_fakes/runner.py
+++ b/packages/fakes/src/bergamotwood_fakes/runner.py
@@ -59,6 +59,17 @@
         Submits the tickets.
     sampler : Sampler
         Samples the entries' configurations.
+
+    Attributes
+    ----------
+    departures : list of PlannedStop
+        Graceful stops that steps requested.
+    expected_exits : set of str
+        Processes that steps stopped, killed or restarted, or whose disk they lost.
+    unmet : list of str
+        Failed steps, expectations that were not met, and time-outs.
+    first_fault_at : float or None
+        Time of the first step with a fault, in seconds since boot; None before it.
     """
 
     def __init__(
--- a/tests/soak/variants/keeps_keys.py
+++ b/tests/soak/variants/keeps_keys.py
@@ -1,4 +1,4 @@
-"""Accepts each key for good once it has accepted it."""
+"""Keeps accepting each key that it has accepted once, also after its revocation."""
 
 from soak.variants import run_patched
 
