--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -93,18 +93,18 @@
     probabilities = draw_probabilities(workload, drift, count, rng)
     qualities = draw_qualities(probabilities[np.arange(count), classes], rng)
     shape = qualities.shape
-    prompt_means = np.array([traits.prompt_tokens for traits in workload.classes])
+    prompt_medians = np.array([traits.prompt_tokens for traits in workload.classes])
     prompts = np.round(
-        prompt_means[classes] * rng.lognormal(0.0, LOGNORMAL_SIGMA, count)
+        prompt_medians[classes] * rng.lognormal(0.0, LOGNORMAL_SIGMA, count)
     )
-    output_means = np.array([traits.output_tokens for traits in workload.classes])
-    outputs = output_means[classes][:, None] * rng.lognormal(
+    output_medians = np.array([traits.output_tokens for traits in workload.classes])
+    outputs = output_medians[classes][:, None] * rng.lognormal(
         0.0, LOGNORMAL_SIGMA, shape
     )
     outputs = np.round(outputs)
-    first_token_means = np.array([v.first_token_seconds for v in workload.versions])
+    first_token_medians = np.array([v.first_token_seconds for v in workload.versions])
     token_seconds = np.array([v.token_seconds for v in workload.versions])
-    first_tokens = first_token_means[None, :] * rng.lognormal(
+    first_tokens = first_token_medians[None, :] * rng.lognormal(
         0.0, LOGNORMAL_SIGMA, shape
     )
     input_prices = np.array([v.input_price for v in workload.versions])
--- a/packages/core/src/bergamotwood_core/sequential.py
+++ b/packages/core/src/bergamotwood_core/sequential.py
@@ -65,12 +65,12 @@
 
 
 def _log_capital(losses: Sequence[Loss], baseline: float, stake: float) -> float:
-    capital = 0.0
+    log_capital = 0.0
     for loss in losses:
         if loss.count <= 0:
             continue
         factor = 1.0 + stake * (loss.value - baseline)
         if factor <= 0.0:
             return -inf
-        capital += loss.count * log(factor)
-    return capital
+        log_capital += loss.count * log(factor)
+    return log_capital
--- a/tests/daemon/gateway/test_server.py
+++ b/tests/daemon/gateway/test_server.py
@@ -53,7 +53,7 @@
     assert harness.list_arrivals()[0].body == inner
 
 
-def test_conflicting_framing_does_not_smuggle_a_request(make_harness):
+def test_conflicting_framing_is_not_forwarded(make_harness):
     harness = make_harness(configure(), one=answer)
     caller = harness.connect()
     extra = "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n"
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -184,9 +184,9 @@
 def find_frame_ends(folder, count):
     """Return the size of the log after each batch."""
     sizes = []
-    for done in range(count + 1):
+    for batch_count in range(count + 1):
         with TemporaryDirectory(dir=folder) as other:
-            write_batches(other, done)
+            write_batches(other, batch_count)
             sizes.append((Path(other) / "log").stat().st_size)
     return sizes
 
