--- a/benchmarks/answers.py
+++ b/benchmarks/answers.py
@@ -58,7 +58,11 @@
 
 
 def draw_qualities(probabilities: Floats, rng: np.random.Generator) -> Floats:
-    """Draw the true quality of one answer for each request and version."""
+    """Draw the true quality of one answer for each request and version.
+
+    The qualities for one request are correlated, as all versions share a part of its
+    difficulty.
+    """
     shared = rng.standard_normal((probabilities.shape[0], 1)) * np.sqrt(
         SHARED_DIFFICULTY
     )
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -1,4 +1,7 @@
-"""Requests of both users' fleets: chapters, letters, notes and editing sessions."""
+"""Simulated requests of two workspaces.
+
+One sends chapters and letters, the other notes and editing sessions.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -44,7 +47,33 @@
 
 @dataclass(eq=False)
 class OfferedRequest:
-    """A request as sent by a caller, and its outcome."""
+    """A request as sent by a caller, and its outcome.
+
+    Parameters
+    ----------
+    number : int
+        Number of the request in its run.
+    arrived_at : float
+        Time of arrival in seconds.
+    kind : RequestKind
+        Kind of the request.
+    prefix : int
+        Hash of the shared prefix.
+    prompt_tokens, output_tokens : int
+        Number of tokens.
+    workspace : str
+        Workspace of the caller.
+    first_token_at, finished_at : float, optional
+        Times of the first token and of the complete answer.
+    refused, failed : bool
+        Whether admission refused it, and whether its dispatch or last attempt failed.
+    attempts : int
+        Number of attempts at engines since the caller last sent it.
+    cached_tokens : int
+        Prompt tokens in the cache of the engine that sent the first token.
+    sends : int
+        Number of times that the caller has sent it.
+    """
 
     number: int
     arrived_at: float
@@ -90,6 +119,7 @@
     shares = [kind.share for kind in kinds]
     while time < seconds:
         kind = rng.choices(kinds, shares)[0]
+        # Lower numbers are more frequent: the mean is a third of the number of prefixes.
         prefix_number = min(
             int(rng.expovariate(3.0 / kind.prefixes)), kind.prefixes - 1
         )
--- a/packages/core/src/bergamotwood_core/control_command.py
+++ b/packages/core/src/bergamotwood_core/control_command.py
@@ -32,7 +32,8 @@
         Ticket that had last set the roll-out when the step was decided; the
         step is refused once a later ticket has set the roll-out.
     stage, state, exposed, reason : int, RolloutState, int, str
-        The new progress. Stage and exposure never decrease.
+        The new progress, as in `RolloutProgress`; `stage` and `exposed` never
+        decrease.
     """
 
     rollout: RolloutId
@@ -69,7 +70,7 @@
     number : TicketNumber
         Number of the ticket; 0 if it could not be read.
     outcome : TicketOutcome
-        Whether it was accepted, and if not, why.
+        Whether it was accepted, now or earlier, and if not, why.
     index : LogIndex
         Index at which it was first accepted, 0 if it was not.
     faults : tuple of str
--- a/packages/core/src/bergamotwood_core/directory.py
+++ b/packages/core/src/bergamotwood_core/directory.py
@@ -23,7 +23,7 @@
     "merge_report",
 ]
 
-# Time without a new announcement after which an endpoint is removed.
+# Time without a new announcement or load report after which an endpoint is removed.
 ENDPOINT_EXPIRY_SECONDS = 5.0
 # How long the last incarnation and sequence of a removed endpoint or entry are
 # kept, to reject late messages.
@@ -44,7 +44,7 @@
     The newest (incarnation, sequence) wins, whatever the path of the message.
     Leaving is final for an incarnation, even if it arrives late. A new incarnation
     starts with a new `Endpoint`, so that requests still counted on the old one do
-    not affect its counters.
+    not affect the counters of the new one.
 
     Parameters
     ----------
@@ -147,7 +147,7 @@
     now: Seconds,
     expiry_seconds: float = ENDPOINT_EXPIRY_SECONDS,
 ) -> tuple[EndpointId, ...]:
-    """Remove the endpoints without a recent announcement.
+    """Remove the endpoints without a recent announcement or load report.
 
     Parameters
     ----------
@@ -156,7 +156,7 @@
     now : Seconds
         Current time.
     expiry_seconds : float
-        Time without a new announcement.
+        Time without a new announcement or load report.
 
     Returns
     -------
--- a/packages/core/src/bergamotwood_core/quarantine.py
+++ b/packages/core/src/bergamotwood_core/quarantine.py
@@ -16,7 +16,8 @@
 # Maximum number of finished fingerprints that an entry keeps.
 MAX_FINISHED = 10_000
 # Delay before a suspect is retried. It exceeds the time that a crash record takes
-# to reach all entries, so that crashes of duplicates elsewhere are known by then.
+# to reach all entries, so that crashes caused by duplicates of the request at other
+# entries are known by then.
 CRASH_PROPAGATION_SECONDS = 1.0
 # How long an entry waits for the retry by another entry before its own retry.
 RETRY_RESULT_TIMEOUT_SECONDS = 8.0
--- a/packages/core/src/bergamotwood_core/sequential.py
+++ b/packages/core/src/bergamotwood_core/sequential.py
@@ -2,8 +2,8 @@
 
 The tests use betting: they bet that the mean of a loss between 0 and 1 lies on one
 side of a baseline. While it does not, the capital of the bets is a nonnegative
-supermartingale, which ever exceeds `1 / rate` with a probability of at most `rate`
-(Ville's inequality).
+supermartingale that starts at 1. The probability that it ever exceeds `1 / rate` is
+then at most `rate`, the error rate that the caller accepts (Ville's inequality).
 """
 
 from collections.abc import Sequence
@@ -60,6 +60,7 @@
 def _average_capital(losses: Sequence[Loss], baseline: float, largest: float) -> float:
     total = 0.0
     for stake in STAKES:
+        # Bounded because exp overflows above 709.
         total += exp(min(_log_capital(losses, baseline, stake * largest), 700.0))
     return total / len(STAKES)
 
--- a/tests/core/gateway/test_placement.py
+++ b/tests/core/gateway/test_placement.py
@@ -148,6 +148,7 @@
 
 
 def choose_best_of_two(backlog, seconds, rng):
+    """Draw two engines at random; return an idle one, or else the first."""
     return min(rng.sample(range(9), 2), key=lambda engine: backlog[engine] > 0)
 
 
--- a/tests/daemon/gateway/test_server.py
+++ b/tests/daemon/gateway/test_server.py
@@ -98,9 +98,7 @@
     assert harness.list_arrivals() == []
 
 
-def test_slow_requests_are_refused_and_idle_connections_closed(
-    make_harness,
-):
+def test_slow_requests_are_refused_and_idle_connections_closed(make_harness):
     harness = make_harness(configure(header_seconds=0.1, idle_seconds=0.2), one=answer)
     slow = harness.connect()
     slow.send_raw(b"POST /a/x HT")
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -203,6 +203,7 @@
         tail = data.draw(st.binary(max_size=30))
         log.write_bytes(whole[:kept] + tail)
         synced = sum(end <= kept for end in ends) - 1
+        # The random tail may equal the bytes that were removed.
         if whole.startswith(whole[:kept] + tail):
             synced = sum(end <= kept + len(tail) for end in ends) - 1
         saved = read_saved(folder)
