--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -119,7 +119,7 @@
     shares = [kind.share for kind in kinds]
     while time < seconds:
         kind = rng.choices(kinds, shares)[0]
-        # Lower numbers are more frequent: the mean is a third of the number of prefixes.
+        # Lower numbers are more frequent; the mean is a third of their count.
         prefix_number = min(
             int(rng.expovariate(3.0 / kind.prefixes)), kind.prefixes - 1
         )
