--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -32,7 +32,7 @@
 from bergamotwood_core.ids import RequestClass, VersionId
 from bergamotwood_core.usage import Candidate, Usage
 
-WINDOW = 500
+WINDOW_REQUESTS = 500
 RATING_SECONDS = 0.5
 RATING_BURST = 20.0
 # Blocks of a drifting run; the bound treats the probabilities of each as constant.
@@ -90,17 +90,17 @@
     """Reduce the result of a policy to means and missed windows."""
     count = len(result.costs)
     missed = 0
-    starts = range(WINDOW, count - WINDOW + 1, WINDOW)
+    starts = range(WINDOW_REQUESTS, count - WINDOW_REQUESTS + 1, WINDOW_REQUESTS)
     for start in starts:
-        window = result.qualities[start : start + WINDOW]
-        error = float(window.std(ddof=1)) / sqrt(WINDOW)
+        window = result.qualities[start : start + WINDOW_REQUESTS]
+        error = float(window.std(ddof=1)) / sqrt(WINDOW_REQUESTS)
         missed += bool(window.mean() < target - 2.0 * error)
     return Summary(
         name=result.name,
-        cost=float(result.costs[WINDOW:].mean()),
-        quality=float(result.qualities[WINDOW:].mean()),
-        start_cost=float(result.costs[:WINDOW].mean()),
-        start_quality=float(result.qualities[:WINDOW].mean()),
+        cost=float(result.costs[WINDOW_REQUESTS:].mean()),
+        quality=float(result.qualities[WINDOW_REQUESTS:].mean()),
+        start_cost=float(result.costs[:WINDOW_REQUESTS].mean()),
+        start_quality=float(result.qualities[:WINDOW_REQUESTS].mean()),
         missed=missed,
         windows=len(starts),
         ratings=result.ratings / count,
