--- a/benchmarks/batching.py
+++ b/benchmarks/batching.py
@@ -1,9 +1,9 @@
 """Fake model engine with continuous batching, chunked prefill and a prefix cache.
 
-Follows the users' data sheets. Each step generates one token for each running
-request and takes longer the more of them there are. Prompts are prefilled in chunks
-between steps. Running requests and cached prompt parts use the same memory; the
-least recently used cached parts are evicted when it is full.
+Follows the users' data sheets. Each step prefills at most one chunk of prompt tokens
+and generates one token for each request whose prompt is complete. It takes longer the
+more of both there are. Running requests and cached prompt parts use the same memory;
+the least recently used cached parts are evicted when it is full.
 """
 
 from collections import OrderedDict, deque
@@ -105,7 +105,7 @@
             self.simulation.schedule(self._prepare_step(), self._finish_step)
 
     def _prepare_step(self) -> float:
-        """Admit queued requests, prefill one chunk, and return the step's seconds."""
+        """Admit queued requests, prefill a chunk, and return the step's duration."""
         self._admit()
         settings = self.settings
         decoding = sum(not generation.prefill_left for generation in self.running)
--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -32,6 +32,7 @@
 from bergamotwood_core.ids import RequestClass, VersionId
 from bergamotwood_core.usage import Candidate, Usage
 
+# Requests over which the mean quality is compared with the target.
 WINDOW_REQUESTS = 500
 RATING_SECONDS = 0.5
 RATING_BURST = 20.0
--- a/benchmarks/clairvoyant.py
+++ b/benchmarks/clairvoyant.py
@@ -68,7 +68,8 @@
     Returns
     -------
     CascadeMix
-        Solution of a linear programme over all options of all classes.
+        Solution of a linear programme over all options of all classes; if it has
+        none, the option with the highest quality of each class.
     """
     rng = np.random.default_rng(seed)
     options = [
--- a/benchmarks/poison.py
+++ b/benchmarks/poison.py
@@ -174,7 +174,7 @@
     def _send(
         self, fingerprint: Fingerprint, poison: bool, seconds: float, resends: int
     ) -> None:
-        """Submit a request to a random entry, as under a new idempotency key."""
+        """Submit a request to a random entry, as if it had a new idempotency key."""
         entry = self.rng.choice(self.entries)
         now = self.simulation.now
         self._plan(Call(fingerprint, poison, now, seconds, resends, entry))
--- a/packages/core/src/bergamotwood_core/bootstrap.py
+++ b/packages/core/src/bergamotwood_core/bootstrap.py
@@ -237,7 +237,7 @@
 
 
 def _is_lost(state: ReplicaState, member: Member, now: Seconds) -> bool:
-    """Whether a member is lost whose instance now has another identity.
+    """Whether a member whose instance now has another identity counts as lost.
 
     With open membership an instance is an address, at which only one process
     runs, so the earlier identity cannot come back.
--- a/packages/core/src/bergamotwood_core/comparison.py
+++ b/packages/core/src/bergamotwood_core/comparison.py
@@ -1,4 +1,8 @@
-"""Statistical comparison of a candidate with the current version."""
+"""Statistical comparison of a candidate with the current version.
+
+Uses the betting tests of `sequential`: the capital of bets against a claim only
+becomes large, except with a small probability, if the claim is false.
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -156,7 +160,7 @@
     test_starts: Sequence[tuple[float, ArmCounts]],
     false_stop_rate: float,
 ) -> Metric | None:
-    """Find a metric on which the candidate is shown to be worse.
+    """Find a metric on which the candidate is shown to be worse; None if there is none.
 
     Parameters
     ----------
@@ -167,7 +171,7 @@
     test_starts : sequence of tuple
         Weight of each test, with a sum of at most 1, and counts from which it starts.
     false_stop_rate : float
-        Probability of ever stopping a candidate that is no worse.
+        Maximum probability of ever stopping a candidate that is no worse.
     """
     limit = len(Metric) / false_stop_rate
     for baseline in baselines:
--- a/packages/core/src/bergamotwood_core/control.py
+++ b/packages/core/src/bergamotwood_core/control.py
@@ -90,7 +90,7 @@
 
 
 class CrashReport(Struct, frozen=True):
-    """Crash of an endpoint's incarnation that was running a request, by fingerprint."""
+    """Crash of an endpoint incarnation while it ran a request with this fingerprint."""
 
     fingerprint: Fingerprint
     endpoint: EndpointId
--- a/packages/core/src/bergamotwood_core/election.py
+++ b/packages/core/src/bergamotwood_core/election.py
@@ -75,7 +75,7 @@
 def refuses_election(state: ReplicaState, body: VoteRequest, now: Seconds) -> bool:
     """Whether to ignore a vote request of a later term, since a leader is heard.
 
-    A request that the leader started itself is not ignored.
+    A request after a leadership transfer is not ignored: the leader asked for it.
     """
     return not body.transfer and _has_live_leader(state, now)
 
--- a/packages/core/src/bergamotwood_core/follower.py
+++ b/packages/core/src/bergamotwood_core/follower.py
@@ -56,7 +56,7 @@
     body: AppendRequest | SnapshotPart,
     now: Seconds,
 ) -> None:
-    """Reject a message from a leader of an earlier term with the current term."""
+    """Reject a message of an earlier term's leader; the reply has the current term."""
     time = state.get_time(now)
     reply = AppendReply(False, LogIndex(0), LogIndex(0), body.sent, time)
     state.send(message.instance, message.sender, reply)
