--- a/packages/core/src/bergamotwood_core/key_table.py
+++ b/packages/core/src/bergamotwood_core/key_table.py
@@ -35,7 +35,7 @@
 # Keys with a full record, and expired keys of which only a hash is kept.
 MAX_KEYS = 20_000
 MAX_EXPIRED_KEYS = 200_000
-# Seconds of log time after which the hash of an expired key may be dropped.
+# Seconds of log time from the first use of a key until its hash may be dropped.
 KEY_RETENTION_SECONDS = 7 * 86_400.0
 # Seconds of log time after which a held claim counts as unknown.
 CLAIM_EXPIRY_SECONDS = 3_600.0
@@ -85,8 +85,8 @@
 
     When it is full, the oldest key that is not held expires and leaves a hash,
     so that a request with an expired key is refused rather than run again. When
-    the hashes are full too, the oldest is dropped once it is
-    `KEY_RETENTION_SECONDS` old; until then new keys are refused.
+    the hashes are full too, the oldest is dropped once its
+    key was first used `KEY_RETENTION_SECONDS` ago; until then new keys are refused.
     """
 
     def __init__(self) -> None:
--- a/packages/core/src/bergamotwood_core/ledger_command.py
+++ b/packages/core/src/bergamotwood_core/ledger_command.py
@@ -27,7 +27,8 @@
     endpoint : EndpointId
         Endpoint on which it ran.
     prompt_tokens, output_tokens : int
-        Token counts reported by the endpoint.
+        Token counts reported by the endpoint; 0 for a service. For a failed attempt,
+        0 and the number of tokens of the answer received so far.
     cost : float
         Cost units.
     outcome : str
--- a/packages/core/src/bergamotwood_core/placement.py
+++ b/packages/core/src/bergamotwood_core/placement.py
@@ -79,7 +79,8 @@
     Takes the better of two random endpoints in the nearest data centre. If its load
     is high, another data centre is used when the load there is clearly lower. The
     endpoint that holds the prefix or session is preferred over that choice unless
-    its load is much higher.
+    its load is much higher. If all endpoints are ejected or silent, a random one
+    is chosen, in the nearest data centre first.
 
     Parameters
     ----------
--- a/packages/core/src/bergamotwood_core/replica.py
+++ b/packages/core/src/bergamotwood_core/replica.py
@@ -165,8 +165,9 @@
         Returns
         -------
         LogIndex
-            Index of the first command. The commands are committed once the
-            outputs contain entries with these indexes and the current term.
+            Index of the first command. The commands are committed once
+            `Effects.outputs` contains entries with these indexes and the current
+            term.
 
         Raises
         ------
--- a/packages/core/src/bergamotwood_core/replication.py
+++ b/packages/core/src/bergamotwood_core/replication.py
@@ -138,7 +138,7 @@
 
 
 def advance_commit(state: ReplicaState, now: Seconds) -> None:
-    """Commit what a majority has on disk, and update the confirmed time."""
+    """Commit what a majority has on disk, and advance `state.confirmed_at`."""
     leadership = state.leadership
     index = _find_majority_match(state)
     # An entry of an earlier term may be overwritten although a majority has it;
--- a/packages/core/src/bergamotwood_core/rollout.py
+++ b/packages/core/src/bergamotwood_core/rollout.py
@@ -35,7 +35,8 @@
 # Requests between two starting points of the harm tests, and how many are kept.
 TEST_START_SPACING = 25
 MAX_TEST_STARTS = 16
-# Weight of the test that runs from the beginning.
+# Weight of the test that runs from the beginning. The other tests share the rest, so
+# that the weights of all tests add up to at most 1.
 FIRST_TEST_START_WEIGHT = 0.5
 # Fraction of the endpoints needed for a stage's share of traffic that must have
 # loaded the candidate.
--- a/packages/daemon/src/bergamotwood_daemon/attempts.py
+++ b/packages/daemon/src/bergamotwood_daemon/attempts.py
@@ -101,7 +101,14 @@
         record_start(endpoint, self.started_at)
 
     def isolate(self) -> bool:
-        """Reserve the endpoint for this suspect; return False if either is in use."""
+        """Reserve the endpoint for this suspect.
+
+        Returns
+        -------
+        bool
+            False if the endpoint runs a suspect already, or the same suspect runs on
+            another endpoint.
+        """
         self._isolated = self._entry.isolation.start(
             self._context.fingerprint, self.endpoint_id
         )
--- a/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
+++ b/packages/daemon/src/bergamotwood_daemon/cascaderunner.py
@@ -115,6 +115,16 @@
     ) -> StepAnswer:
         """Prepare the answer of one version; nothing is sent yet.
 
+        Parameters
+        ----------
+        call : ChatCall
+            The chat request.
+        version : VersionId
+            Version that answers.
+        number : int
+            Position of the step in the cascade, from 0. Answers of later steps have
+            quality estimates of their own.
+
         Raises
         ------
         RefusedError
--- a/packages/daemon/src/bergamotwood_daemon/daemon.py
+++ b/packages/daemon/src/bergamotwood_daemon/daemon.py
@@ -354,10 +354,10 @@
 
 
 class _NoControlRole:
-    """Handles calls of peers at an instance without the control role."""
+    """Answers peers with empty bytes when the instance lacks the control role."""
 
     def handle_replicate(self, body: bytes) -> bytes:
-        """Ignore replication messages."""
+        """Ignore the call."""
         return b""
 
     handle_propose = handle_poll = handle_query = handle_replicate
--- a/packages/daemon/src/bergamotwood_daemon/gateway/peermessages.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/peermessages.py
@@ -59,7 +59,7 @@
     crashes : tuple of Crash
         Endpoints that broke the connection while they ran a request.
     successes : tuple of Success
-        Requests suspected of crashing endpoints that an endpoint has answered.
+        Requests that were suspected of crashing endpoints and then got an answer.
     """
 
     entry: EntryAddress
