--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -118,7 +118,11 @@
 
 
 class OrderingCluster:
-    """Replicas that issue load orders under their leases, and the orders received."""
+    """Replicas that issue load orders under their leases, and the orders received.
+
+    The endpoint `fenced` refuses an order whose token is older than one that it has
+    seen; `plain` accepts every order.
+    """
 
     def __init__(self, seed):
         self.cluster = Cluster(seed, faults=False)
--- a/tests/daemon/test_encryption.py
+++ b/tests/daemon/test_encryption.py
@@ -42,6 +42,7 @@
         tls.key.write_bytes(
             key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
         )
+        # A reload compares modification times, which may be equal for quick writes.
         for path in (tls.certificate, tls.key):
             utime(path, ns=(serial * 10**9, serial * 10**9))
         return tls
