--- a/tests/daemon/gateway/test_forwarder.py
+++ b/tests/daemon/gateway/test_forwarder.py
@@ -125,6 +125,7 @@
 
 
 def test_an_endpoint_that_answers_421_is_not_asked_again(make_harness):
+    # The status means that another endpoint now listens at the address.
     harness = make_harness(
         configure(**ONCE), old=lambda a: a.answer("", 421), new=answer
     )
