--- a/packages/daemon/src/bergamotwood_daemon/gateway/server.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/server.py
@@ -385,7 +385,10 @@
         self._server.close()
 
     def handler(self, exchange: Exchange) -> None:
-        """Answer a request; log an unexpected exception and answer it with 502."""
+        """Answer a request; log an unexpected exception.
+
+        The caller then gets a 502, or the connection closes if the response has begun.
+        """
         try:
             self._handler(exchange)
         except (CallerDisconnectedError, GreenletExit, OSError):
--- a/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
+++ b/packages/daemon/src/bergamotwood_daemon/gateway/streams.py
@@ -115,6 +115,10 @@
 
 
 def _is_after(event: str, last: str) -> bool:
+    """Whether an event id comes after the last one that the caller got.
+
+    Only decimal ids are ordered; any other id counts as later unless it is equal.
+    """
     if event.isdecimal() and last.isdecimal():
         return int(event) > int(last)
     return event != last
--- a/packages/daemon/src/bergamotwood_daemon/groupinput.py
+++ b/packages/daemon/src/bergamotwood_daemon/groupinput.py
@@ -17,6 +17,15 @@
     ----------
     command : bytes
         Command for the state machine.
+
+    Attributes
+    ----------
+    result : AsyncResult
+        The state machine's answer, or the error that the proposer gets.
+    appended : bool
+        Whether it was appended to the log, so that it may be applied.
+    abandoned : bool
+        Whether the proposer stopped waiting; then it is not appended any more.
     """
 
     __slots__ = ("command", "result", "appended", "abandoned")
--- a/packages/daemon/src/bergamotwood_daemon/peer.py
+++ b/packages/daemon/src/bergamotwood_daemon/peer.py
@@ -202,8 +202,8 @@
         Raises
         ------
         ReplicationError
-            When the peer did not answer; unless `run` is `NOT_RUN` it may have
-            handled the call.
+            When the peer did not answer, or answered with an error; unless `run` is
+            `NOT_RUN` it may have handled the call.
         """
         if monotonic() < self._redial_at:
             raise ReplicationError(
--- a/packages/daemon/src/bergamotwood_daemon/proposer.py
+++ b/packages/daemon/src/bergamotwood_daemon/proposer.py
@@ -115,6 +115,7 @@
     ) -> Committed | NotLeader | Unknown:
         name = self._replica_order[0]
         if not self._call_slots.acquire(timeout=timeout_seconds):
+            # Nothing was sent, so the next attempt goes to the same replica.
             return NotLeader(name)
         try:
             reply = self._channels[name].call(method, body, timeout_seconds)
--- a/packages/daemon/src/bergamotwood_daemon/settingscheck.py
+++ b/packages/daemon/src/bergamotwood_daemon/settingscheck.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 SECRET_FIELDS = ("instance_key", "session_secret", "order_key")
+# Defaults of the settings model, for fields that the document leaves out.
 DEFAULT_DRAIN_SECONDS = 6.0
 DEFAULT_TTL_SECONDS = 5
 
--- a/packages/daemon/src/bergamotwood_daemon/wire.py
+++ b/packages/daemon/src/bergamotwood_daemon/wire.py
@@ -68,7 +68,7 @@
     hold_seconds : float
         How long the replica may wait for changes before it answers.
     boot : str
-        The start of the replica that `cursor` belongs to.
+        Id of the start of the replica that `cursor` belongs to.
     cursor : int
         Last directory change that the entry received from that start.
     report : EntryReport or None
--- a/packages/fakes/src/bergamotwood_fakes/caller.py
+++ b/packages/fakes/src/bergamotwood_fakes/caller.py
@@ -60,7 +60,9 @@
         self.transcripts: list[Transcript] = []
 
     def send(self, request: Request, entries: tuple[str, ...] = ()) -> Transcript:
-        """Send a request until it is answered, must not be resent or attempts run out.
+        """Send a request until it is answered or the attempts run out.
+
+        It is sent again only when that is safe.
 
         Parameters
         ----------
--- a/packages/fakes/src/bergamotwood_fakes/operator.py
+++ b/packages/fakes/src/bergamotwood_fakes/operator.py
@@ -18,7 +18,7 @@
 
 
 class Operator:
-    """Submits tickets to a fleet and retries when no answer is received.
+    """Submits tickets to a fleet and retries until they are accepted or refused.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
         return [greenlet.value for greenlet in submissions]
 
     def is_kept(self, number: int) -> bool:
-        """Whether a ticket is still stored."""
+        """Whether a ticket is still stored; False also when no entry answers."""
         return self._get(f"/v1/tickets/{number}") is not None
 
     def read_bills(self) -> list[dict] | None:
--- a/packages/fakes/src/bergamotwood_fakes/socket_owner.py
+++ b/packages/fakes/src/bergamotwood_fakes/socket_owner.py
@@ -19,6 +19,8 @@
 NO_COOKIE = 0xFFFFFFFF
 HEADER_FORMAT = "=IHHII"
 REQUEST_FORMAT = "=BBBBI"
+# Offset of the inode in a response: 16 bytes of the netlink header, then 68 of
+# `struct inet_diag_msg`.
 INODE_OFFSET = 84
 MAX_RESPONSE_BYTES = 4_096
 LOOPBACK = inet_aton("127.0.0.1") + bytes(12)
