--- a/tests/daemon/gateway/test_server.py
+++ b/tests/daemon/gateway/test_server.py
@@ -53,7 +53,7 @@
     assert harness.list_arrivals()[0].body == inner
 
 
-def test_conflicting_framing_does_not_smuggle_a_request(make_harness):
+def test_conflicting_framing_is_not_forwarded(make_harness):
     harness = make_harness(configure(), one=answer)
     caller = harness.connect()
     extra = "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -98,9 +98,7 @@
     assert harness.list_arrivals() == []
 
 
-def test_slow_requests_are_refused_and_idle_connections_closed(
-    make_harness,
-):
+def test_slow_requests_are_refused_and_idle_connections_closed(make_harness):
     harness = make_harness(configure(header_seconds=0.1, idle_seconds=0.2), one=answer)
     slow = harness.connect()
     slow.send_raw(b"POST /a/x HT")
--- a/tests/daemon/test_journal.py
+++ b/tests/daemon/test_journal.py
@@ -184,9 +184,9 @@
 def find_frame_ends(folder, count):
     """Return the size of the log after each batch."""
     sizes = []
-    for done in range(count + 1):
+    for batch_count in range(count + 1):
         with TemporaryDirectory(dir=folder) as other:
-            write_batches(other, done)
+            write_batches(other, batch_count)
             sizes.append((Path(other) / "log").stat().st_size)
     return sizes
 
@@ -203,6 +203,7 @@
         tail = data.draw(st.binary(max_size=30))
         log.write_bytes(whole[:kept] + tail)
         synced = sum(end <= kept for end in ends) - 1
+        # The random tail may equal the bytes that were removed.
         if whole.startswith(whole[:kept] + tail):
             synced = sum(end <= kept + len(tail) for end in ends) - 1
         saved = read_saved(folder)
