--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -187,14 +187,14 @@
     assert "none of its results did" in checked.stderr
 
 
-def test_missing_file_fails(results_path):
+def test_missing_results_file_fails(results_path):
     checked = check(results_path)
     assert checked.returncode == 1
     assert "cannot read results: " in checked.stderr
     assert str(results_path) in checked.stderr
 
 
-def test_truncated_file_fails(results_path):
+def test_truncated_results_file_fails(results_path):
     results_path.write_text(json.dumps([PASSED, KNOWN])[:-1])
     checked = check(results_path)
     assert checked.returncode == 1
@@ -210,7 +210,7 @@
         ([{"name": KNOWN["name"]}], "item 1 is not a scenario result"),
     ],
 )
-def test_file_of_another_form_fails(results_path, content, message):
+def test_results_file_that_is_not_a_list_of_results_fails(results_path, content, message):
     results_path.write_text(json.dumps(content))
     checked = check(results_path)
     assert checked.returncode == 1
--- a/tests/core/test_rollout.py
+++ b/tests/core/test_rollout.py
@@ -80,7 +80,7 @@
     assert evaluate(count_candidate(Random(2), new=400)) == Advance(1)
 
 
-def test_too_little_evidence_holds():
+def test_rollout_stays_at_its_stage_on_too_little_evidence():
     assert isinstance(evaluate(count_candidate(Random(3), new=5)), Hold)
 
 
