--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -210,7 +210,7 @@
         ([{"name": KNOWN["name"]}], "item 1 is not a scenario result"),
     ],
 )
-def test_results_file_that_is_not_a_list_of_results_fails(results_path, content, message):
+def test_file_that_is_not_a_list_of_results_fails(results_path, content, message):
     results_path.write_text(json.dumps(content))
     checked = check(results_path)
     assert checked.returncode == 1
