--- a/benchmarks/batching.py
+++ b/benchmarks/batching.py
@@ -34,9 +34,9 @@
     event_tokens : int
         Tokens sent in one stream event.
     prefill_slowdowns : dict
-        Factor on the prefill time of each model. On the users' test bench (kubwa-hq
-        quiet-1), a token takes 4 to 5 ms with every model while no prompt is being
-        prefilled, and 8 ms more for each prompt that is.
+        Factor on the prefill time of each model. It applies to the prefill alone: while
+        no prompt is being prefilled, a token takes 4 to 5 ms with every model, and
+        8 ms more for each prompt that is.
     """
 
     slots: int
--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -36,7 +36,7 @@
 WINDOW_REQUESTS = 500
 RATING_SECONDS = 0.5
 RATING_BURST = 20.0
-# Blocks of a drifting run; the bound treats the probabilities of each as constant.
+# Blocks of a drifting run; the lower bound takes their probabilities as constant.
 BLOCKS = 32
 # Interval at which entries exchange evidence.
 EXCHANGE_SECONDS = 5.0
@@ -67,8 +67,7 @@
     start_cost, start_quality : float
         Means in the first window.
     missed, windows : int
-        Windows after the first below the target by more than two standard errors,
-        and all windows after the first.
+        Windows after the first: over two standard errors below the target, and all.
     ratings : float
         Ratings used for each request.
     plan_micros, plan_micros_p99 : float
@@ -301,10 +300,7 @@
     rating_settings: RatingSettings,
     steps: Sequence[tuple[int, float]],
 ) -> PolicyResult:
-    """Answer every request with one fixed cascade.
-
-    A step is skipped when the rating budget is used up.
-    """
+    """Answer every request with one fixed cascade."""
     per_second = rating_settings.per_request * workload.requests_per_second
     rating_budget = RatingBudget(per_second, RATING_BURST)
     count = len(answers.times)
@@ -315,6 +311,7 @@
         now = Seconds(float(answers.times[index]))
         wait = 0.0
         for version, threshold in steps[:-1]:
+            # A step is skipped when the rating budget is used up.
             if not rating_budget.take(now):
                 continue
             ratings += 1
@@ -526,7 +523,7 @@
     short: bool,
     out: str,
 ) -> None:
-    """Compare the cascade policy with fixed cascades and the bound."""
+    """Compare the cascade policy with fixed cascades and a lower bound on the cost."""
     if short:
         names, kinds, seeds, requests = ("kubwa-3",), (Ratings.ENOUGH,), 1, 4_000
     echo(HEADER)
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -28,15 +28,14 @@
 TICK_SECONDS = 5.0
 REQUESTS_PER_SECOND = 10.0
 MAX_SECONDS = 14_400.0
-# Time until the entries apply a committed change of the progress.
+# Time until the entries apply a committed change of a roll-out's progress.
 PROPAGATION_SECONDS = 5.0
 # Shares of the answers that are rated, and the time that a rating takes.
 CURRENT_RATED = 0.1
 CANDIDATE_RATED = 0.5
 RATING_SECONDS = 10.0
 ANSWER_SECONDS = 5.0
-# A version that turns bad does so within this many requests on the candidate in one
-# stage; the stage and the request are drawn uniformly.
+# A candidate turns bad in its first requests of a stage; both are drawn uniformly.
 REGRESSION_REQUESTS = 50
 # Second at which the leader is lost, and seconds until the next one leads.
 LEADER_LOST_AT_SECONDS = 300.0
@@ -56,10 +55,8 @@
     ----------
     failures : float
         Share of its requests that fail.
-    first_token_seconds : float
-        Median time to the first token.
-    quality : float
-        Mean quality.
+    first_token_seconds, quality : float
+        Median time to the first token, and mean quality.
     """
 
     failures: float = 0.01
@@ -363,10 +360,8 @@
     ----------
     statistics : tuple of float
         Maximum over the metrics, by stage.
-    step : int
-        Requests on the candidate in each stage.
-    bad_after : int
-        Requests on the candidate before it turned bad.
+    step, bad_after : int
+        Requests on the candidate in each stage, and before it turned bad.
     """
 
     statistics: tuple[float, ...]
@@ -393,10 +388,8 @@
 def run_canary(
     trial: Trial, step: int, bins: dict[Behaviour, Bins], rng: np.random.Generator
 ) -> CanaryRun:
-    """Run a canary that tests after a fixed number of requests in each stage.
-
-    The request at which a version turns bad is drawn uniformly.
-    """
+    """Run a canary that tests after a fixed number of requests in each stage."""
+    # The request at which a version turns bad is drawn uniformly.
     bad_after = 0
     if trial.after is not None:
         bad_after = int(rng.integers(0, step * len(STAGES)))
@@ -533,7 +526,7 @@
                 }
             )
     rate = max(false_stops, 1.0 / good_seeds)
-    echo(f"\ncanaries at a false-stop rate of {rate:.3f} (measured {false_stops:.3f})")
+    echo(f"\ncanaries at a false-stop rate of {rate:.3f} (roll-outs {false_stops:.3f})")
     rows += compare_canaries(bins, rate, canary_runs, mean_exposed, rng)
     path = Path(out)
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -548,7 +541,7 @@
     rng: np.random.Generator,
 ) -> list[dict[str, object]]:
     """Print and return exposure and missed bad candidates for several step sizes."""
-    echo(f"{'step':>6}{'candidate':>16}{'missed':>8}{'exposed':>9}{'ours/it':>9}")
+    echo(f"{'step':>6}{'candidate':>16}{'missed':>8}{'exposed':>9}{'/canary':>9}")
     rows: list[dict[str, object]] = []
     for step in (50, 100, 200, 400):
         limit = calibrate_canary(step, bins, rate, runs, rng)
