--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -541,7 +541,7 @@
     rng: np.random.Generator,
 ) -> list[dict[str, object]]:
     """Print and return exposure and missed bad candidates for several step sizes."""
-    echo(f"{'step':>6}{'candidate':>16}{'missed':>8}{'exposed':>9}{'/canary':>9}")
+    echo(f"{'step':>6}{'candidate':>16}{'missed':>8}{'exposed':>9}{'ours/it':>9}")
     rows: list[dict[str, object]] = []
     for step in (50, 100, 200, 400):
         limit = calibrate_canary(step, bins, rate, runs, rng)
