--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -67,7 +67,8 @@
     start_cost, start_quality : float
         Means in the first window.
     missed, windows : int
-        Windows after the first: over two standard errors below the target, and all.
+        Windows after the first below the target by more than two standard errors,
+        and all windows after the first.
     ratings : float
         Ratings used for each request.
     plan_micros, plan_micros_p99 : float
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -35,7 +35,8 @@
 CANDIDATE_RATED = 0.5
 RATING_SECONDS = 10.0
 ANSWER_SECONDS = 5.0
-# A candidate turns bad in its first requests of a stage; both are drawn uniformly.
+# A version that turns bad does so within this many requests on the candidate in one
+# stage; the stage and the request are drawn uniformly.
 REGRESSION_REQUESTS = 50
 # Second at which the leader is lost, and seconds until the next one leads.
 LEADER_LOST_AT_SECONDS = 300.0
@@ -526,7 +527,7 @@
                 }
             )
     rate = max(false_stops, 1.0 / good_seeds)
-    echo(f"\ncanaries at a false-stop rate of {rate:.3f} (roll-outs {false_stops:.3f})")
+    echo(f"\ncanaries at a false-stop rate of {rate:.3f} (measured {false_stops:.3f})")
     rows += compare_canaries(bins, rate, canary_runs, mean_exposed, rng)
     path = Path(out)
     path.parent.mkdir(parents=True, exist_ok=True)
