--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -28,7 +28,7 @@
 TICK_SECONDS = 5.0
 REQUESTS_PER_SECOND = 10.0
 MAX_SECONDS = 14_400.0
-# Time until the entries apply a committed change of the progress.
+# Time until the entries apply a committed change of a roll-out's progress.
 PROPAGATION_SECONDS = 5.0
 # Shares of the answers that are rated, and the time that a rating takes.
 CURRENT_RATED = 0.1
@@ -56,10 +56,8 @@
     ----------
     failures : float
         Share of its requests that fail.
-    first_token_seconds : float
-        Median time to the first token.
-    quality : float
-        Mean quality.
+    first_token_seconds, quality : float
+        Median time to the first token, and mean quality.
     """
 
     failures: float = 0.01
@@ -363,10 +361,8 @@
     ----------
     statistics : tuple of float
         Maximum over the metrics, by stage.
-    step : int
-        Requests on the candidate in each stage.
-    bad_after : int
-        Requests on the candidate before it turned bad.
+    step, bad_after : int
+        Requests on the candidate in each stage, and before it turned bad.
     """
 
     statistics: tuple[float, ...]
@@ -393,10 +389,8 @@
 def run_canary(
     trial: Trial, step: int, bins: dict[Behaviour, Bins], rng: np.random.Generator
 ) -> CanaryRun:
-    """Run a canary that tests after a fixed number of requests in each stage.
-
-    The request at which a version turns bad is drawn uniformly.
-    """
+    """Run a canary that tests after a fixed number of requests in each stage."""
+    # The request at which a version turns bad is drawn uniformly.
     bad_after = 0
     if trial.after is not None:
         bad_after = int(rng.integers(0, step * len(STAGES)))
